--- a/packages/relay/src/work/admission.ts
+++ b/packages/relay/src/work/admission.ts
@@ -1,37 +1,37 @@
 /**
- * Gets decode memory for a host's requests before their prompts are read, by
- * asking the replicas (room-search.ts). Requests that find none wait in their
- * service's queue (service-queue.ts), which is served in rounds. Efficiency
- * only.
+ * Reserves decode memory before a request's prompt is prefilled. The replicas
+ * are asked directly (replica-search.ts); requests that none of them accepts
+ * wait in a queue per service (service-queue.ts), and all queues are polled
+ * together.
  */
 import {type ReleaseRate} from '@gatehead/policy/relay/release-rate';
 import {retryAfterWait} from '@gatehead/policy/relay/retry-after';
 import {jitter} from '@gatehead/policy/utils/random';
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {timeLeft} from './job.js';
-import {RoomSearch, type Wish} from './room-search.js';
-import {ServiceQueue, type AdmissionAnswer, type AdmissionParts} from './service-queue.js';
+import {ReplicaSearch, type ReservationRequest} from './replica-search.js';
+import {ServiceQueue, type AdmissionResult, type AdmissionParts} from './service-queue.js';
 
-/** Pause between two rounds of asking while requests wait, in milliseconds: a place comes free at a replica about three times a second, and is taken after half of the pause. */
-const pollMs = 60;
-/** Part by which the pause differs, so that hosts do not ask together. */
-const pollSpread = 0.3;
+/** Mean interval between polls of the replicas while requests wait, in milliseconds. A replica frees capacity for one request about three times a second, so capacity stays unused for half the interval on average. */
+const pollIntervalMs = 60;
+/** Jitter as a share of the interval, so that hosts do not poll in step. */
+const pollJitter = 0.3;
 
-/** One host's admission to all services. */
+/** Admission control for all services of this host. */
 export class Admission {
 	readonly #parts: AdmissionParts;
-	readonly #search: RoomSearch;
+	readonly #search: ReplicaSearch;
 	readonly #queues = new Map<string, ServiceQueue>();
 	#timer: Timer | undefined;
-	#isAsking = false;
-	#isAgain = false;
+	#isServing = false;
+	#isServeRequested = false;
 
 	constructor(parts: AdmissionParts) {
 		this.#parts = parts;
-		this.#search = new RoomSearch(parts);
+		this.#search = new ReplicaSearch(parts);
 	}
 
-	/** Requests that wait. */
+	/** Number of waiting requests, over all services. */
 	get waiting(): number {
 		let waiting = 0;
 		for (const {size} of this.#queues.values()) {
@@ -41,73 +41,73 @@
 		return waiting;
 	}
 
-	/** Stops asking. */
+	/** Cancels the pending poll. */
 	close(): void {
 		this.#timer?.stop();
 	}
 
-	/** Gets room for a request, or says that there is none for it. */
-	async reserve(wish: Wish): Promise<AdmissionAnswer> {
-		const queue = this.#queueOf(wish.job.service.name);
-		const reservation = await queue.tryNow(wish);
+	/** Reserves decode memory, waiting for it if necessary. Resolves with `refused` if the request cannot be served in time, and with `aborted` if its signal fires first. */
+	async reserve(request: ReservationRequest): Promise<AdmissionResult> {
+		const queue = this.#queueOf(request.job.service.name);
+		const reservation = await queue.tryReserve(request);
 		if (reservation !== undefined) {
 			return {kind: 'granted', reservation};
 		}
 
-		if (wish.job.signal.aborted) {
-			return {kind: 'gone'};
+		if (request.job.signal.aborted) {
+			return {kind: 'aborted'};
 		}
 
-		const waitMs = this.#waitPastTarget(wish);
+		const waitMs = this.#retryAfterPastTarget(request);
 		if (waitMs !== undefined) {
 			return {
 				kind: 'refused', code: 'endpointsUnavailable', retryAfterMs: waitMs, detail: 'no replica takes requests now',
 			};
 		}
 
-		const answer = queue.wait(wish);
-		this.#schedule();
-		return answer;
+		const result = queue.wait(request);
+		this.#schedulePoll();
+		return result;
 	}
 
-	/** Notes how long a request has held its memory, to know how fast memory comes free. */
-	noteHold(service: string, tokens: number, heldMs: number): void {
+	/** Records how long a completed request held its memory, in milliseconds; feeds the release rate. */
+	recordHold(service: string, tokens: number, heldMs: number): void {
 		this.rateOf(service).note(tokens, heldMs);
 	}
 
-	/** Notes how long after its reservation a request's first event came, to know who can still be in time. */
-	noteStart(service: string, startMs: number): void {
-		this.#queueOf(service).noteStart(startMs);
+	/** Records the time from a request's reservation to its first event, in milliseconds; feeds the estimate of which waiting requests can still meet their target. */
+	recordStartLatency(service: string, startMs: number): void {
+		this.#queueOf(service).recordStartLatency(startMs);
 	}
 
-	/** Room may have come free. */
+	/** Polls the replicas at once if requests of the service are waiting. */
 	roomAt(service: string): void {
 		if ((this.#queues.get(service)?.size ?? 0) > 0) {
-			void this.#round();
+			void this.#serveQueues();
 		}
 	}
 
-	/** How fast a service's memory comes free. */
+	/** Estimated rate at which the service's decode memory is released. */
 	rateOf(service: string): ReleaseRate {
 		return this.#queueOf(service).rate;
 	}
 
-	/** When a request last waited for a service's memory, here or at a peer that tells this host. */
+	/** Time at which a request last waited for the service's memory, at this host or at a peer that reported it. */
 	waitedAt(service: string): number {
 		return this.#queueOf(service).waitedAt();
 	}
 
-	/** Time until the first replica takes requests again, where that is too late for the request's target. */
-	#waitPastTarget({job, isStarted}: Wish): number | undefined {
+	/** `Retry-After` in milliseconds if every replica is paused until after the request's target; otherwise undefined. */
+	#retryAfterPastTarget({job, isContinuation}: ReservationRequest): number | undefined {
 		const {context: {clock, random}, endpoints} = this.#parts;
-		const waitMs = isStarted ? undefined : endpoints.shortestWaitMs(job.service.name, 'decode');
+		const waitMs = isContinuation ? undefined : endpoints.shortestWaitMs(job.service.name, 'decode');
 		const isLate = waitMs !== undefined && clock.now() + waitMs > job.arrivedAt + job.route.targetMs;
 		return isLate ? retryAfterWait(waitMs, timeLeft(job, clock.now()), random) : undefined;
 	}
 
-	#schedule(): void {
+	#schedulePoll(): void {
 		for (const queue of this.#queues.values()) {
-			queue.tell();
+			queue.publishWaiting();
 		}
 
 		if (this.#timer !== undefined || this.waiting === 0) {
@@ -115,32 +115,32 @@
 		}
 
 		const {clock, random} = this.#parts.context;
-		this.#timer = clock.after(jitter(random, pollMs, pollSpread), () => {
+		this.#timer = clock.after(jitter(random, pollIntervalMs, pollJitter), () => {
 			this.#timer = undefined;
-			void this.#round();
+			void this.#serveQueues();
 		});
 	}
 
-	/** One round of asking for the heads of all queues; rounds never overlap. */
-	async #round(): Promise<void> {
-		if (this.#isAsking) {
-			this.#isAgain = true;
+	/** Serves all queues. Runs never overlap: a call during a run makes it run once more. */
+	async #serveQueues(): Promise<void> {
+		if (this.#isServing) {
+			this.#isServeRequested = true;
 			return;
 		}
 
-		this.#isAsking = true;
+		this.#isServing = true;
 		try {
 			do {
-				this.#isAgain = false;
+				this.#isServeRequested = false;
 				for (const queue of this.#queues.values()) {
 					await queue.serve();
 				}
-			} while (this.#isAgain);
+			} while (this.#isServeRequested);
 		} catch (error) {
-			this.#parts.context.log('internal', {detail: `a round for decode memory failed: ${String(error)}`});
+			this.#parts.context.log('internal', {detail: `serving the admission queues failed: ${String(error)}`});
 		} finally {
-			this.#isAsking = false;
-			this.#schedule();
+			this.#isServing = false;
+			this.#schedulePoll();
 		}
 	}
 
--- a/packages/relay/src/work/budgets.ts
+++ b/packages/relay/src/work/budgets.ts
@@ -1,15 +1,14 @@
-/** The retry budgets of a host's services. Safety of the bound on second sends: see `RetryBudget`. */
+/** Retry budgets, one per service. `RetryBudget` enforces the safety bound on retries. */
 import {RetryBudget} from '@gatehead/policy/relay/retry-budget';
 import {type RelayContext} from '../core/context.js';
 import {type Job} from './job.js';
 
-/** Why a request is sent once more. */
-export type ExtraCause = 'refused' | 'connect' | 'error' | 'broken' | 'slow' | 'prefill' | 'continue';
+/** Why a request is sent again. */
+export type RetryCause = 'refused' | 'connect' | 'error' | 'broken' | 'slow' | 'prefill' | 'continue';
 
-/** Budget that must be left for a cause, so that what can wait leaves the rest to what cannot. */
-const leastLeft: Readonly<Partial<Record<ExtraCause, number>>> = {slow: 6, error: 3};
+/** Minimum remaining budget by cause, so that less urgent retries leave the rest to urgent ones. */
+const budgetFloors: Readonly<Partial<Record<RetryCause, number>>> = {slow: 6, error: 3};
 
-/** Budgets by service. */
 export class Budgets {
 	readonly #context: RelayContext;
 	readonly #countHosts: () => number;
@@ -20,17 +19,17 @@
 		this.#countHosts = countHosts;
 	}
 
-	/** Notes a request's arrival. */
+	/** Counts an incoming request, which adds to the service's budget. */
 	arrive(service: string): void {
-		this.#of(service).arrive(this.#context.clock.now());
+		this.#budgetOf(service).arrive(this.#context.clock.now());
 	}
 
-	/** Takes one extra send, or says that none is left; either is written down. */
-	take({id, service}: Job, cause: ExtraCause): boolean {
+	/** Takes one retry from the budget; false if too little is left. Either outcome is logged and counted. */
+	take({id, service}: Job, cause: RetryCause): boolean {
 		const {clock, log, metrics} = this.#context;
-		const budget = this.#of(service.name);
+		const budget = this.#budgetOf(service.name);
 		const left = Math.floor(budget.left(clock.now()));
-		const isGranted = left >= (leastLeft[cause] ?? 0) && budget.take(clock.now());
+		const isGranted = left >= (budgetFloors[cause] ?? 0) && budget.take(clock.now());
 		log('sentAgain', {
 			request: id, service: service.name, cause, budgetLeft: left, hosts: this.#countHosts(), outcome: isGranted ? 'sent' : 'no budget',
 		});
@@ -43,18 +42,18 @@
 		return isGranted;
 	}
 
-	/** Least budget left of all services, for the figures. */
+	/** Smallest remaining budget over all services; 0 before the first request. */
 	leastLeft(): number {
 		const now = this.#context.clock.now();
-		let least = Number.POSITIVE_INFINITY;
+		let lowest = Number.POSITIVE_INFINITY;
 		for (const budget of this.#budgets.values()) {
-			least = Math.min(least, budget.left(now));
+			lowest = Math.min(lowest, budget.left(now));
 		}
 
-		return Number.isFinite(least) ? least : 0;
+		return Number.isFinite(lowest) ? lowest : 0;
 	}
 
-	#of(service: string): RetryBudget {
+	#budgetOf(service: string): RetryBudget {
 		let budget = this.#budgets.get(service);
 		if (budget === undefined) {
 			budget = new RetryBudget(this.#context.settings.retry, this.#countHosts);
--- /dev/null
+++ b/packages/relay/src/work/decode-prefill.ts
@@ -0,0 +1,48 @@
+/**
+ * Tracks a prompt that its decode replica prefills itself: the prompt is added
+ * to the replica's prefill queue and announced to peers, which include it in
+ * their estimates. A prefill that is neither finished nor abandoned would make
+ * the replica look overdue for good.
+ */
+import {type Reading, type ReadingQueue} from '@gatehead/policy/relay/reading-queue';
+import {type Clock} from '@gatehead/policy/utils/clock';
+import {type LoadNews} from '../peer/load-news.js';
+import {type Endpoints} from '../upstream/endpoints.js';
+
+export type DecodePrefillParts = {
+	readonly clock: Clock;
+	readonly endpoints: Pick<Endpoints, 'queueOf'>;
+	readonly news: Pick<LoadNews, 'tellReading'>;
+};
+
+/** The prefill of one request's prompt at its decode replica, while it runs. */
+export class DecodePrefill {
+	readonly #parts: DecodePrefillParts;
+	#current: {readonly queue: ReadingQueue; readonly reading: Reading} | undefined;
+
+	constructor(parts: DecodePrefillParts) {
+		this.#parts = parts;
+	}
+
+	/** Registers a prefill of `tokens` prompt tokens at an endpoint; returns the expected duration in milliseconds. */
+	begin(endpoint: string, tokens: number): number {
+		const {clock, endpoints, news} = this.#parts;
+		const queue = endpoints.queueOf(endpoint);
+		const reading = queue.begin(tokens, clock.now());
+		news.tellReading(endpoint, tokens);
+		this.#current = {queue, reading};
+		return reading.expectedMs;
+	}
+
+	/** Marks the prefill as done; called at the request's first event. */
+	finish(): void {
+		this.#current?.queue.finish(this.#current.reading, this.#parts.clock.now());
+		this.#current = undefined;
+	}
+
+	/** Removes the prefill from the queue unless it has finished. */
+	abandon(): void {
+		this.#current?.queue.abandon(this.#current.reading);
+		this.#current = undefined;
+	}
+}
--- a/packages/relay/src/work/event-passage.ts
+++ b/packages/relay/src/work/event-forwarder.ts
@@ -1,37 +1,37 @@
 /**
- * Passes a generation's events on to its caller, from one run or from several
- * one after the other. Safety: only whole events go out, so that the id of the
- * last one says truly where the caller's stream goes on; a caller that does
- * not read is given up before its bytes fill the process.
+ * Forwards a generation's events to the caller, from one run or from several
+ * consecutive runs. Safety: only complete events are forwarded, so the last id
+ * is the position from which the caller's stream can continue. A caller that
+ * does not read is disconnected before its buffered bytes exhaust memory.
  */
 import {type IncomingMessage} from 'node:http';
 import {EventSplitter} from '@gatehead/policy/relay/event-splitter';
 import {type Clock} from '@gatehead/policy/utils/clock';
 import {type Reply} from '../front/reply.js';
 
-/** The events of one request. */
-export class EventPassage {
-	/** Longest pause between two events so far, in milliseconds. */
+/** Forwards the events of one request. */
+export class EventForwarder {
+	/** Longest interval between two forwarded events so far, in milliseconds. */
 	longestGapMs = 0;
 	readonly #reply: Reply;
 	readonly #clock: Clock;
-	readonly #mostUnreadBytes: number;
+	readonly #maxUnreadBytes: number;
 	readonly #splitter = new EventSplitter();
 	#lastEventAt = 0;
 
-	constructor(reply: Reply, clock: Clock, mostUnreadBytes: number) {
+	constructor(reply: Reply, clock: Clock, maxUnreadBytes: number) {
 		this.#reply = reply;
 		this.#clock = clock;
-		this.#mostUnreadBytes = mostUnreadBytes;
+		this.#maxUnreadBytes = maxUnreadBytes;
 	}
 
-	/** Id of the last event that went out, to continue after. */
+	/** Id of the last forwarded event; a continuation starts after it. */
 	get lastId(): string | undefined {
 		return this.#splitter.lastId;
 	}
 
-	/** Passes on the events that are now whole. */
-	pass(response: IncomingMessage, chunk: Uint8Array): void {
+	/** Forwards the events that the chunk completes. */
+	forward(response: IncomingMessage, chunk: Uint8Array): void {
 		const {bytes, count} = this.#splitter.push(chunk);
 		if (count === 0) {
 			return;
@@ -45,18 +45,18 @@
 		this.#lastEventAt = now;
 		this.#begin(response);
 		this.#reply.write(bytes);
-		if (this.#reply.unreadBytes > this.#mostUnreadBytes) {
-			response.destroy(new Error('the caller does not read'));
+		if (this.#reply.unreadBytes > this.#maxUnreadBytes) {
+			response.destroy(new Error('the caller does not read the stream'));
 		}
 	}
 
-	/** The stream is whole: what follows its last event, if anything, belongs to it. */
+	/** Ends the reply after a complete stream, with any bytes that follow its last event. */
 	finish(response: IncomingMessage): void {
 		this.#begin(response);
 		this.#reply.end(this.#splitter.takeRest());
 	}
 
-	/** Forgets the piece of an event that another run begins anew. */
+	/** Discards a partial event before the stream continues from another run. */
 	restart(): void {
 		this.#splitter.reset();
 	}
--- /dev/null
+++ b/packages/relay/src/work/generation-failure.ts
@@ -0,0 +1,51 @@
+/**
+ * Ends a generation that did not complete. Safety: a reply that has begun is
+ * broken off, so that it never looks complete; before that the caller gets an
+ * error, and `Reply` makes sure that the error does not promise "not run" for
+ * a request that may have run.
+ */
+import {type Code} from '@gatehead/schema/codes';
+import {type Endpoint} from '@gatehead/schema/routing';
+import {type Job} from './job.js';
+import {type JobEnd} from './job-end.js';
+
+/** Default `Retry-After` after a failure, in milliseconds; the failed endpoint is out of rotation by then. */
+export const defaultRetryAfterMs = 800;
+
+/** Error for the caller. */
+export type Refusal = {
+	readonly code: Code;
+	readonly retryAfterMs: number;
+	readonly detail: string;
+};
+
+/** Sends an error to the caller. `Reply` may replace the code by one that holds for a request that may have run. */
+export function refuseJob({reply, mayHaveRun, route}: Job, {code: wanted, retryAfterMs, detail}: Refusal, endpoint?: Endpoint): JobEnd {
+	const code = reply.refuse(wanted, {
+		retryAfterMs, mayHaveRun, isRepeatable: route.isResumable, detail,
+	});
+	return {
+		outcome: 'refused', code, endpoint: endpoint?.id, detail,
+	};
+}
+
+/** Ends a job whose signal fired: the caller disconnected or the deadline passed. */
+export function abortJob(job: Job, endpoint?: Endpoint): JobEnd {
+	if (job.signal.reason === 'callerLeft') {
+		return {outcome: 'callerLeft', endpoint: endpoint?.id};
+	}
+
+	return refuseJob(job, {code: job.mayHaveRun ? 'timeoutSpent' : 'overloaded', retryAfterMs: defaultRetryAfterMs, detail: 'time is up'}, endpoint);
+}
+
+/** Ends a job whose run failed at a replica and cannot continue at another. */
+export function failJob(job: Job, endpoint: Endpoint, reason: string): JobEnd {
+	if (job.reply.hasBegun) {
+		job.reply.breakOff();
+		return {
+			outcome: 'brokenOff', code: 'streamBroken', endpoint: endpoint.id, detail: reason,
+		};
+	}
+
+	return refuseJob(job, {code: 'answerLost', retryAfterMs: defaultRetryAfterMs, detail: reason}, endpoint);
+}
--- a/packages/relay/src/work/job.ts
+++ b/packages/relay/src/work/job.ts
@@ -1,51 +1,52 @@
 /**
- * One caller's request in work. Safety: `mayHaveRun` is set before the first
- * byte can reach an endpoint and is taken back only on the endpoint's own
- * word; every refusal asks it.
+ * A caller's request while it is processed. Safety: `mayHaveRun` is set before
+ * the first byte can reach an endpoint and is cleared only when the endpoint
+ * itself confirms that it did not run the request; every error response
+ * depends on it.
  */
 import {type Route, type Service, type Workspace} from '@gatehead/schema/routing';
 import {type Reply} from '../front/reply.js';
 import {type RequestFacts} from '../core/dialect.js';
 import {type RequestContent} from './request-content.js';
 
-/** A request, read whole, with its route. */
+/** A request with its buffered body, its route and its state. */
 export type Job = {
-	/** Name in the log: the caller's own, or one made here. */
+	/** Request id for the log: the caller's, or a generated one. */
 	readonly id: string;
 	readonly facts: RequestFacts;
 	readonly route: Route;
 	readonly service: Service;
-	/** Whose key the caller showed; undefined: no key is needed. */
+	/** Owner of the caller's key; undefined if the route needs no key. */
 	readonly workspace: Workspace | undefined;
-	/** What it took out of the workspace's quota, in the quota's unit. */
+	/** Cost charged to the workspace's quota, in the quota's unit. */
 	readonly cost: number;
 	readonly method: string;
 	readonly target: string;
-	/** Headers to pass on, names and values by turns. */
+	/** Headers to forward, as alternating names and values. */
 	readonly headers: readonly string[];
 	readonly body: Uint8Array | undefined;
 	readonly content: RequestContent;
 	readonly arrivedAt: number;
-	/** Instant at which the caller's patience or the route's time ends. */
+	/** Deadline: the earlier of the caller's timeout and the route's. */
 	readonly deadlineAt: number;
-	/** The caller has been here with this request before, as its shorter patience shows. */
+	/** Whether the caller has sent this request here before, as its shorter timeout indicates. */
 	readonly isSecondTry: boolean;
-	/** Aborts when the caller leaves or time is up. */
+	/** Aborts when the caller disconnects or the deadline passes. */
 	readonly signal: AbortSignal;
 	readonly reply: Reply;
-	/** An endpoint may have begun to run it. */
+	/** Whether an endpoint may have started to run the request. */
 	mayHaveRun: boolean;
-	/** Endpoints that may have run it. */
+	/** Number of endpoints that may have run the request. */
 	runs: number;
-	/** Sends so far, without first prefills. */
+	/** Number of sends so far, not counting the first prefill of a round. */
 	sends: number;
-	/** It was to be sent while its content was held back. */
+	/** Whether a send was suppressed because the content is held. */
 	isHeld: boolean;
-	/** Its content was held back until lately, and this is the one run that shows whether it still must be. */
+	/** Whether this run is the probe that decides if the content, held until recently, stays held. */
 	isOnTrial: boolean;
 };
 
-/** Time that the caller and its route leave, in milliseconds. */
+/** Time until the deadline, in milliseconds; never negative. */
 export function timeLeft({deadlineAt}: Job, now: number): number {
 	return Math.max(0, deadlineAt - now);
 }
--- a/packages/relay/src/work/parts.ts
+++ b/packages/relay/src/work/parts.ts
@@ -1,4 +1,4 @@
-/** What the ways of work share, in one object that is passed down. Neither safety nor efficiency rests here. */
+/** Dependencies that the request handlers share. */
 import {type RelayContext} from '../core/context.js';
 import {type LoadNews} from '../peer/load-news.js';
 import {type CrashGuard} from '../upstream/crash-guard.js';
@@ -9,7 +9,6 @@
 import {type Admission} from './admission.js';
 import {type StageOrders} from './stage-orders.js';
 
-/** What work is done with. */
 export type WorkParts = {
 	readonly context: RelayContext;
 	readonly endpoints: Endpoints;
--- a/packages/relay/src/work/plain.ts
+++ b/packages/relay/src/work/plain.ts
@@ -1,7 +1,8 @@
 /**
- * Requests to plain services. Safety: a request that may run once is sent
- * again only where it provably did not run. One that may be repeated is sent
- * to a second endpoint when the first fails or is slow, within the budget.
+ * Requests to plain services. Safety: a request that is not repeatable is sent
+ * again only if it provably did not run. A repeatable request is hedged: a
+ * second endpoint is tried, within the retry budget, when the first one fails
+ * or is slow.
  */
 import {type IncomingMessage} from 'node:http';
 import {retryAfterWait} from '@gatehead/policy/relay/retry-after';
@@ -11,167 +12,167 @@
 import {isOff} from '../core/experiment.js';
 import {readBody} from '../upstream/exchange.js';
 import {answeredElsewhere, type Sent} from '../upstream/sender.js';
-import {type ExtraCause} from './budgets.js';
+import {type RetryCause} from './budgets.js';
 import {timeLeft, type Job} from './job.js';
 import {type JobEnd} from './job-end.js';
 import {type WorkParts} from './parts.js';
 
-/** Longest answer that is read whole before it is passed on, so that a cut one is never begun. */
-const mostBytes = 8_388_608;
-/** Share of the target after which a slow answer is asked for a second time elsewhere: a second answer can then still be in time. */
-const slowShare = 0.45;
-/** Least time before an answer counts as slow, in milliseconds: about a usual answer's own time. */
-const leastSlowMs = 60;
-/** When a caller may come back after no endpoint could be had, in milliseconds: within its target where that is short. */
-const comeBackMs = 400;
-/** Endpoints tried one after the other where none of them runs the request: more than any plain service at hand has. */
-const mostTries = 4;
-const leastErrorStatus = 500;
+/** Maximum response size. Responses are buffered whole, so that a truncated one is never forwarded. */
+const maxBodyBytes = 8_388_608;
+/** Share of the target after which a request is hedged; leaves a second response enough time to meet the target. */
+const hedgeShare = 0.45;
+/** Minimum time before a request is hedged, in milliseconds; about the usual response time. */
+const minHedgeDelayMs = 60;
+/** Default `Retry-After` if no endpoint was available, in milliseconds; short enough for a retry within a short target. */
+const defaultRetryAfterMs = 400;
+/** Maximum endpoints tried per request. */
+const maxEndpoints = 4;
+const minServerErrorStatus = 500;
 const bodilessStatuses: ReadonlySet<number> = new Set([204, 304]);
 
-/** How endpoints of plain services are weighed: the near one until it has work in hand, so that its connections stay in use. */
+/** Placement weights for plain services: the endpoint in the own hall is preferred until it has work in progress, so that its connections are reused. */
 const weights: PlacementWeights = {
 	farHall: 0.12, newConnection: 0.1, badness: 2, otherSubset: 0, noise: 0.05,
 };
 
-/** An answer, read whole. */
-type WholeAnswer = {
+/** A response with its complete body. */
+type BufferedResponse = {
 	readonly endpoint: Endpoint;
 	readonly response: IncomingMessage;
 	readonly body: Uint8Array;
 };
 
-/** What came of one send, with its body. */
-type Tried
-	= | {readonly kind: 'whole'; readonly answer: WholeAnswer}
+/** Outcome of one attempt. */
+type AttemptResult
+	= | {readonly kind: 'response'; readonly answer: BufferedResponse}
 		| Exclude<Sent, {kind: 'answer'}>;
 
-/** What came of one of the sends that run side by side. */
-type RivalResult = {
-	readonly rival: AbortController;
-	readonly tried: Tried;
+/** Outcome of one of several concurrent attempts, with the controller that identifies it. */
+type HedgeResult = {
+	readonly controller: AbortController;
+	readonly result: AttemptResult;
 };
 
-/** A send that may run beside another; its controller ends it. */
-type Rival = {
+/** An attempt that can run beside another; `controller` cancels it. */
+type Hedge = {
 	readonly controller: AbortController;
-	readonly result: Promise<RivalResult>;
+	readonly result: Promise<HedgeResult>;
 };
 
-/** Works on a request to a plain service until it has its final answer. */
+/** Runs a request to a plain service until its reply has ended. */
 export async function workPlain(parts: WorkParts, job: Job): Promise<JobEnd> {
 	const plain = new PlainWork(parts, job);
-	return job.route.kind === 'repeatable' ? plain.workRepeatable() : plain.workOnce();
+	return job.route.kind === 'repeatable' ? plain.sendHedged() : plain.sendOnce();
 }
 
 class PlainWork {
 	readonly #parts: WorkParts;
 	readonly #job: Job;
-	readonly #tried = new Set<string>();
-	/** Endpoints that it went to, but for those that had no permit for it. */
-	#tries = 0;
+	readonly #triedEndpoints = new Set<string>();
+	/** Attempts so far, not counting endpoints that had no permit for the request. */
+	#attempts = 0;
 
 	constructor(parts: WorkParts, job: Job) {
 		this.#parts = parts;
 		this.#job = job;
 	}
 
-	/** One endpoint after the other, as long as none runs it. */
-	async workOnce(): Promise<JobEnd> {
-		let cause: ExtraCause | undefined;
-		while (this.#tries < mostTries) {
-			const endpoint = this.#choose();
-			if (endpoint === undefined || (cause !== undefined && !this.#mayRepeat(cause))) {
+	/** Tries one endpoint after another while none may have run the request. */
+	async sendOnce(): Promise<JobEnd> {
+		let cause: RetryCause | undefined;
+		while (this.#attempts < maxEndpoints) {
+			const endpoint = this.#chooseEndpoint();
+			if (endpoint === undefined || (cause !== undefined && !this.#mayRetry(cause))) {
 				break;
 			}
 
-			const tried = await this.#try(endpoint, this.#job.signal);
-			if (tried.kind === 'whole') {
-				return this.#pass(tried.answer);
+			const result = await this.#attempt(endpoint, this.#job.signal);
+			if (result.kind === 'response') {
+				return this.#forward(result.answer);
 			}
 
-			if (tried.kind === 'unknown' || this.#job.signal.aborted || this.#job.isHeld) {
-				return this.#giveUp(endpoint);
+			if (result.kind === 'unknown' || this.#job.signal.aborted || this.#job.isHeld) {
+				return this.#refuse(endpoint);
 			}
 
-			cause = causes[tried.reason] ?? 'refused';
+			cause = causeByReason[result.reason] ?? 'refused';
 		}
 
-		return this.#giveUp();
+		return this.#refuse();
 	}
 
-	/** A second endpoint is asked when the first fails or is slow; the first good answer counts. */
-	async workRepeatable(): Promise<JobEnd> {
-		const rivals = new Map<AbortController, Promise<RivalResult>>();
-		let failed: WholeAnswer | undefined;
-		let cause: ExtraCause | undefined;
-		let isOver = false;
+	/** Tries a second endpoint when the first fails or is slow; forwards the first good response. */
+	async sendHedged(): Promise<JobEnd> {
+		const inFlight = new Map<AbortController, Promise<HedgeResult>>();
+		let failed: BufferedResponse | undefined;
+		let cause: RetryCause | undefined;
+		let isExhausted = false;
 		try {
 			for (;;) {
-				if (!isOver && rivals.size < 2 && (rivals.size === 0 || cause === 'slow')) {
-					const rival = this.#start(cause);
-					isOver = rival === undefined;
-					if (rival !== undefined) {
-						rivals.set(rival.controller, rival.result);
+				if (!isExhausted && inFlight.size < 2 && (inFlight.size === 0 || cause === 'slow')) {
+					const hedge = this.#startAttempt(cause);
+					isExhausted = hedge === undefined;
+					if (hedge !== undefined) {
+						inFlight.set(hedge.controller, hedge.result);
 					}
 				}
 
-				if (rivals.size === 0) {
-					return failed === undefined ? this.#giveUp() : this.#pass(failed);
+				if (inFlight.size === 0) {
+					return failed === undefined ? this.#refuse() : this.#forward(failed);
 				}
 
-				const first = await this.#race([...rivals.values()], rivals.size === 1 && !isOver);
+				const first = await this.#nextResult([...inFlight.values()], inFlight.size === 1 && !isExhausted);
 				if (first === undefined) {
 					cause = 'slow';
 					continue;
 				}
 
-				rivals.delete(first.rival);
-				const {tried} = first;
+				inFlight.delete(first.controller);
+				const {result} = first;
 				if (this.#job.signal.aborted) {
-					return this.#giveUp();
+					return this.#refuse();
 				}
 
-				if (tried.kind === 'whole' && (tried.answer.response.statusCode ?? leastErrorStatus) < leastErrorStatus) {
-					return this.#pass(tried.answer);
+				if (result.kind === 'response' && (result.answer.response.statusCode ?? minServerErrorStatus) < minServerErrorStatus) {
+					return this.#forward(result.answer);
 				}
 
-				failed = tried.kind === 'whole' ? tried.answer : failed;
-				cause = causeOf(tried);
+				failed = result.kind === 'response' ? result.answer : failed;
+				cause = retryCauseOf(result);
 				if (cause === 'broken') {
 					await this.#parts.guard.mayRunAgain(this.#job);
 				}
 			}
 		} finally {
-			for (const rival of rivals.keys()) {
-				rival.abort(answeredElsewhere);
+			for (const controller of inFlight.keys()) {
+				controller.abort(answeredElsewhere);
 			}
 		}
 	}
 
-	/** Starts one more send, where an endpoint, an attempt and the budget are left. */
-	#start(cause: ExtraCause | undefined): Rival | undefined {
-		const endpoint = this.#choose();
-		if (endpoint === undefined || this.#tries >= mostTries || this.#job.isHeld || this.#job.runs >= this.#job.route.maxAttempts || (cause !== undefined && !this.#mayRepeat(cause))) {
+	/** Starts another attempt; undefined if no endpoint, attempt or budget is left. */
+	#startAttempt(cause: RetryCause | undefined): Hedge | undefined {
+		const endpoint = this.#chooseEndpoint();
+		if (endpoint === undefined || this.#attempts >= maxEndpoints || this.#job.isHeld || this.#job.runs >= this.#job.route.maxAttempts || (cause !== undefined && !this.#mayRetry(cause))) {
 			return undefined;
 		}
 
 		const controller = new AbortController();
 		const signal = AbortSignal.any([this.#job.signal, controller.signal]);
-		const send = async () => ({rival: controller, tried: await this.#try(endpoint, signal)});
+		const send = async () => ({controller, result: await this.#attempt(endpoint, signal)});
 		return {controller, result: send()};
 	}
 
-	/** The first result, or undefined where it is slow. */
-	async #race<Result>(results: ReadonlyArray<Promise<Result>>, isTimed: boolean): Promise<Result | undefined> {
+	/** Resolves with the first result, or with undefined once the request is slow enough to hedge. */
+	async #nextResult<Result>(results: ReadonlyArray<Promise<Result>>, mayHedge: boolean): Promise<Result | undefined> {
 		const {clock} = this.#parts.context;
-		if (!isTimed) {
+		if (!mayHedge) {
 			return Promise.race(results);
 		}
 
-		const slowAt = this.#job.arrivedAt + Math.max(leastSlowMs, slowShare * this.#job.route.targetMs);
+		const hedgeAt = this.#job.arrivedAt + Math.max(minHedgeDelayMs, hedgeShare * this.#job.route.targetMs);
 		return new Promise<Result | undefined>((resolve, reject) => {
-			const timer = clock.after(slowAt - clock.now(), () => {
+			const timer = clock.after(hedgeAt - clock.now(), () => {
 				resolve(undefined);
 			});
 			for (const result of results) {
@@ -183,17 +184,17 @@
 		});
 	}
 
-	#choose(): Endpoint | undefined {
+	#chooseEndpoint(): Endpoint | undefined {
 		const {endpoints, context: {settings: {hall}}} = this.#parts;
 		const ordered = endpoints.order(this.#job.service.name, {
 			stage: undefined, hall, weights, bearable: 0,
 		});
-		return ordered.find(({id}) => !this.#tried.has(id));
+		return ordered.find(({id}) => !this.#triedEndpoints.has(id));
 	}
 
-	/** A connection that never came needs no budget: nothing arrived there. */
-	#mayRepeat(cause: ExtraCause): boolean {
-		const mechanism = optionalCauses[cause];
+	/** A failed connection needs no budget: nothing reached the endpoint. */
+	#mayRetry(cause: RetryCause): boolean {
+		const mechanism = causeMechanisms[cause];
 		if (mechanism !== undefined && isOff(this.#parts.context, mechanism)) {
 			return false;
 		}
@@ -201,10 +202,10 @@
 		return cause === 'connect' || this.#parts.budgets.take(this.#job, cause);
 	}
 
-	async #try(endpoint: Endpoint, signal: AbortSignal): Promise<Tried> {
+	async #attempt(endpoint: Endpoint, signal: AbortSignal): Promise<AttemptResult> {
 		const {sender, context: {clock}} = this.#parts;
-		this.#tried.add(endpoint.id);
-		this.#tries += 1;
+		this.#triedEndpoints.add(endpoint.id);
+		this.#attempts += 1;
 		const sent = await sender.send({
 			job: this.#job, step: 'plain', endpoint, facts: {}, tokens: 0, headMs: timeLeft(this.#job, clock.now()) + 1, signal,
 		});
@@ -212,16 +213,16 @@
 			if (sent.reason === 'refused') {
 				this.#parts.endpoints.noteFull(endpoint.id, 0);
 			} else if (sent.reason === 'limited') {
-				this.#tries -= 1;
+				this.#attempts -= 1;
 			}
 
 			return sent;
 		}
 
 		try {
-			const body = await readBody(sent.response, mostBytes);
+			const body = await readBody(sent.response, maxBodyBytes);
 			sent.end('good');
-			return {kind: 'whole', answer: {endpoint, response: sent.response, body}};
+			return {kind: 'response', answer: {endpoint, response: sent.response, body}};
 		} catch (error) {
 			sent.end(signal.aborted ? 'cancelled' : 'broken', String(error));
 			this.#parts.context.log('sendFailed', {
@@ -231,7 +232,7 @@
 		}
 	}
 
-	#pass({response, body, endpoint}: WholeAnswer): JobEnd {
+	#forward({response, body, endpoint}: BufferedResponse): JobEnd {
 		const {reply, method} = this.#job;
 		if (method === 'HEAD' || bodilessStatuses.has(response.statusCode ?? 0)) {
 			reply.begin(response);
@@ -244,46 +245,46 @@
 		return {outcome: 'answered', endpoint: endpoint.id};
 	}
 
-	/** When a caller may come back where no endpoint takes requests now. */
-	#waitMs(): number | undefined {
+	/** `Retry-After` in milliseconds if all endpoints are paused; undefined if none is. */
+	#retryAfterMs(): number | undefined {
 		const {endpoints, context: {clock, random}} = this.#parts;
 		const waitMs = endpoints.shortestWaitMs(this.#job.service.name, undefined);
 		return waitMs === undefined ? undefined : retryAfterWait(waitMs, timeLeft(this.#job, clock.now()), random);
 	}
 
-	#giveUp(endpoint?: Endpoint): JobEnd {
+	#refuse(endpoint?: Endpoint): JobEnd {
 		const {reply, route, signal, mayHaveRun, sends, isHeld, content} = this.#job;
 		if (signal.aborted && signal.reason === 'callerLeft') {
 			return {outcome: 'callerLeft', endpoint: endpoint?.id};
 		}
 
 		if (isHeld && !signal.aborted) {
-			const code = reply.refuse('contentHeld', {retryAfterMs: this.#parts.guard.holdMs(content) ?? comeBackMs, mayHaveRun, isRepeatable: route.kind === 'repeatable'});
+			const code = reply.refuse('contentHeld', {retryAfterMs: this.#parts.guard.holdMs(content) ?? defaultRetryAfterMs, mayHaveRun, isRepeatable: route.kind === 'repeatable'});
 			return {
 				outcome: 'refused', code, endpoint: endpoint?.id, detail: content.digest,
 			};
 		}
 
-		const waitMs = this.#waitMs();
-		const ended = mayHaveRun || sends > 0 ? 'timeoutSpent' : 'overloaded';
-		const unsent = waitMs === undefined ? 'endpointsDown' : 'endpointsUnavailable';
-		const wanted = mayHaveRun ? 'answerLost' : unsent;
-		const code = reply.refuse(signal.aborted ? ended : wanted, {retryAfterMs: waitMs ?? comeBackMs, mayHaveRun, isRepeatable: route.kind === 'repeatable'});
+		const waitMs = this.#retryAfterMs();
+		const timeoutCode = mayHaveRun || sends > 0 ? 'timeoutSpent' : 'overloaded';
+		const unsentCode = waitMs === undefined ? 'endpointsDown' : 'endpointsUnavailable';
+		const failureCode = mayHaveRun ? 'answerLost' : unsentCode;
+		const code = reply.refuse(signal.aborted ? timeoutCode : failureCode, {retryAfterMs: waitMs ?? defaultRetryAfterMs, mayHaveRun, isRepeatable: route.kind === 'repeatable'});
 		return {outcome: 'refused', code, endpoint: endpoint?.id};
 	}
 }
 
-/** Causes that an experiment can switch off. */
-const optionalCauses: Readonly<Partial<Record<ExtraCause, Mechanism>>> = {error: 'errorRetries', slow: 'slowCopies'};
+/** Retry causes that experiments can disable. */
+const causeMechanisms: Readonly<Partial<Record<RetryCause, Mechanism>>> = {error: 'errorRetries', slow: 'slowCopies'};
 
-const causes: Readonly<Record<string, ExtraCause>> = {
+const causeByReason: Readonly<Record<string, RetryCause>> = {
 	connect: 'connect', refused: 'refused', otherEndpoint: 'refused', limited: 'connect',
 };
 
-function causeOf(tried: Tried): ExtraCause {
-	if (tried.kind === 'whole') {
+function retryCauseOf(result: AttemptResult): RetryCause {
+	if (result.kind === 'response') {
 		return 'error';
 	}
 
-	return tried.kind === 'notRun' ? causes[tried.reason] ?? 'connect' : 'broken';
+	return result.kind === 'notRun' ? causeByReason[result.reason] ?? 'connect' : 'broken';
 }
--- a/packages/relay/src/work/request-content.test.ts
+++ b/packages/relay/src/work/request-content.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: which requests count as the same content, and which do not. */
+/** Guards against different requests with equal digests, and equal requests with different ones. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {RequestContent, type ContentParts} from './request-content.js';
@@ -36,7 +36,7 @@
 	},
 ];
 
-describe('content of requests', () => {
+describe('request content', () => {
 	for (const {name, left = {}, right, isSame} of cases) {
 		it(`${name}: ${isSame ? 'the same' : 'another'}`, () => {
 			const digests = [left, right].map(parts => new RequestContent({...base, ...parts}).digest);
--- a/packages/relay/src/work/request-content.ts
+++ b/packages/relay/src/work/request-content.ts
@@ -1,25 +1,24 @@
 /**
- * What a request asks for, whoever carries it: its name is the same for each
- * try, at every host. Safety: a name that two contents share would have one
- * caller's request refused for another's, so it is a whole SHA-256, and the
- * caller's workspace is part of it.
+ * Identifies a request by its content: equal requests have equal digests in
+ * every attempt and at every host. Safety: a collision would refuse one
+ * caller's request because of another's, so the digest is a full SHA-256 and
+ * covers the workspace.
  */
 import {createHash} from 'node:crypto';
 import {normalizeAuthority} from '@gatehead/policy/relay/route-table';
 
-/** What makes two requests the same. */
+/** The parts of a request that identify it. */
 export type ContentParts = {
-	/** As the caller wrote it: port and case do not count. */
+	/** As sent by the caller; port and case are ignored. */
 	readonly authority: string;
 	readonly method: string;
-	/** Path, with a query or without. */
+	/** Path with optional query. */
 	readonly target: string;
-	/** Where no key is asked for, all callers are one. */
+	/** Undefined if the route needs no key; such callers are not distinguished. */
 	readonly workspace: string | undefined;
 	readonly body: Uint8Array | undefined;
 };
 
-/** One request's content. */
 export class RequestContent {
 	readonly #parts: ContentParts;
 	#digest: string | undefined;
@@ -33,17 +32,17 @@
 		return this.#parts.body?.length ?? 0;
 	}
 
-	/** The content's name, in hexadecimal. Worked out when it is first asked for, since hardly any request is. */
+	/** Hexadecimal digest, computed on first use because few requests need it. */
 	get digest(): string {
-		this.#digest ??= this.#work();
+		this.#digest ??= this.#computeDigest();
 		return this.#digest;
 	}
 
-	#work(): string {
+	#computeDigest(): string {
 		const {authority, method, target, workspace, body} = this.#parts;
-		// A body says what is asked; only without one does the query
-		const place = this.bytes > 0 ? target.split('?', 1)[0] : target;
-		const hash = createHash('sha256').update(JSON.stringify([normalizeAuthority(authority), method, place, workspace ?? null]));
+		// The query identifies a request only if there is no body
+		const resource = this.bytes > 0 ? target.split('?', 1)[0] : target;
+		const hash = createHash('sha256').update(JSON.stringify([normalizeAuthority(authority), method, resource, workspace ?? null]));
 		if (body !== undefined) {
 			hash.update(body);
 		}
--- a/packages/relay/src/work/service-queue.ts
+++ b/packages/relay/src/work/service-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Admission to one service at one host: its waiting requests, what was
- * observed of its memory, and what peers are told of both. Efficiency only.
+ * Admission queue of one service at one host, with its release-rate and
+ * start-latency estimates. Reports queue length and placements to peers.
  */
 import {AdmissionQueue, type Outlook, type Waiter} from '@gatehead/policy/relay/admission-queue';
 import {ReleaseRate} from '@gatehead/policy/relay/release-rate';
@@ -11,26 +11,26 @@
 import {type Endpoints} from '../upstream/endpoints.js';
 import {type RateLimiter} from '../upstream/rate-limiter.js';
 import {type OwnCalls} from '../upstream/own-calls.js';
-import {comeBackMs} from './generation-end.js';
-import {type Reservation, type RoomSearch, type Wish} from './room-search.js';
+import {defaultRetryAfterMs} from './generation-failure.js';
+import {type Reservation, type ReplicaSearch, type ReservationRequest} from './replica-search.js';
 
-/** Waiting requests that ask in one round: small ones fill the room that is too small for a large one at the head. */
-const askersPerRound = 4;
-/** Time between a reservation and its use, while the prompt is read, in milliseconds: half of them are read within 0.25 s, nine in ten within 0.45 s. */
-const readingMs = 300;
+/** Waiting requests that may fail to get memory per run; more than one, so that small requests use memory that is too small for a large one at the head. */
+const maxFailedSearches = 4;
+/** Expected time from a reservation to its use, while the prompt is prefilled, in milliseconds. */
+const startDelayMs = 300;
 
-/** What came of asking. */
-export type AdmissionAnswer
+/** Outcome of an admission. */
+export type AdmissionResult
 	= | {readonly kind: 'granted'; readonly reservation: Reservation}
 		| {readonly kind: 'refused'; readonly code: 'overloaded' | 'endpointsDown' | 'endpointsUnavailable'; readonly retryAfterMs: number; readonly detail: string}
-		| {readonly kind: 'gone'};
+		| {readonly kind: 'aborted'};
 
-type Waiting = Waiter & {
-	readonly wish: Wish;
-	readonly resolve: (answer: AdmissionAnswer) => void;
+type QueuedRequest = Waiter & {
+	readonly request: ReservationRequest;
+	readonly resolve: (answer: AdmissionResult) => void;
 };
 
-/** What admission works with. */
+/** Dependencies of admission. */
 export type AdmissionParts = {
 	readonly context: RelayContext;
 	readonly endpoints: Endpoints;
@@ -39,30 +39,29 @@
 	readonly limiter: RateLimiter;
 };
 
-/** The queue of one service, with what decides about it. */
 export class ServiceQueue {
 	readonly rate = new ReleaseRate();
 	readonly #service: string;
 	readonly #parts: AdmissionParts;
-	readonly #search: RoomSearch;
+	readonly #search: ReplicaSearch;
 	readonly #start = new StartTime();
-	readonly #queue = new AdmissionQueue<Waiting>();
-	/** Timely waiting requests, as last told to peers. */
-	#told = 0;
+	readonly #queue = new AdmissionQueue<QueuedRequest>();
+	/** Number of waiting requests that can meet their target, as last reported to peers. */
+	#publishedWaiting = 0;
 	#waitedAt = Number.NEGATIVE_INFINITY;
 
-	constructor(service: string, parts: AdmissionParts, search: RoomSearch) {
+	constructor(service: string, parts: AdmissionParts, search: ReplicaSearch) {
 		this.#service = service;
 		this.#parts = parts;
 		this.#search = search;
 	}
 
-	/** Requests that wait here. */
+	/** Number of waiting requests. */
 	get size(): number {
 		return this.#queue.size;
 	}
 
-	/** When a request last waited, here or at a peer that tells this host. */
+	/** Time at which a request last waited, here or at a peer that reported it. */
 	waitedAt(): number {
 		const {context: {clock}, news} = this.#parts;
 		if (this.size > 0 || news.waitingElsewhere(this.#service) > 0) {
@@ -72,31 +71,31 @@
 		return this.#waitedAt;
 	}
 
-	/** Asks at once, where nobody who goes first waits; undefined: the request has to wait. */
-	async tryNow(wish: Wish): Promise<Reservation | undefined> {
-		const isBehind = this.size > 0 || (this.#stageOf(wish) === 'returned' && this.#parts.news.waitingElsewhere(this.#service) > 0);
-		const reservation = isBehind ? undefined : await this.#search.find(wish);
+	/** Reserves at once if no request with a higher priority waits; undefined if the request has to wait. */
+	async tryReserve(request: ReservationRequest): Promise<Reservation | undefined> {
+		const isBehind = this.size > 0 || (this.#stageOf(request) === 'returned' && this.#parts.news.waitingElsewhere(this.#service) > 0);
+		const reservation = isBehind ? undefined : await this.#search.find(request);
 		if (reservation !== undefined) {
-			this.#noteGrant(wish, reservation, 0);
+			this.#recordGrant(request, reservation, 0);
 		}
 
 		return reservation;
 	}
 
-	/** Waits for memory, until there is some, the request is refused or its caller leaves. */
-	async wait(wish: Wish): Promise<AdmissionAnswer> {
-		const {job} = wish;
+	/** Queues the request until memory is reserved, the request is refused or its signal aborts. */
+	async wait(request: ReservationRequest): Promise<AdmissionResult> {
+		const {job} = request;
 		const {clock, metrics} = this.#parts.context;
-		return new Promise<AdmissionAnswer>(resolve => {
-			const waiter: Waiting = {
-				wish,
+		return new Promise<AdmissionResult>(resolve => {
+			const waiter: QueuedRequest = {
+				request,
 				since: clock.now(),
-				// A stream that continues begins its wait anew
-				arrivedAt: wish.isStarted ? clock.now() : job.arrivedAt,
+				// A continuation starts a new wait
+				arrivedAt: request.isContinuation ? clock.now() : job.arrivedAt,
 				targetMs: job.route.targetMs,
 				deadlineAt: job.deadlineAt,
 				priorities: [job.workspace?.priority ?? 0, job.route.priority],
-				stage: this.#stageOf(wish),
+				stage: this.#stageOf(request),
 				resolve: answer => {
 					job.signal.removeEventListener('abort', leave);
 					this.#queue.remove(waiter);
@@ -105,7 +104,7 @@
 				},
 			};
 			const leave = () => {
-				waiter.resolve({kind: 'gone'});
+				waiter.resolve({kind: 'aborted'});
 			};
 
 			job.signal.addEventListener('abort', leave, {once: true});
@@ -114,45 +113,45 @@
 		});
 	}
 
-	/** Notes how long after its reservation a request's first event came. */
-	noteStart(startMs: number): void {
+	/** Records the time from a request's reservation to its first event, in milliseconds. */
+	recordStartLatency(startMs: number): void {
 		this.#start.note(startMs);
 	}
 
-	/** Tells peers how many wait here that can still be in time, where that has changed. */
-	tell(): void {
+	/** Reports to peers how many waiting requests can meet their target, if that changed. */
+	publishWaiting(): void {
 		const timely = this.#queue.countTimely(this.#parts.context.clock.now(), this.#start.valueMs);
-		if (timely !== this.#told) {
-			this.#told = timely;
+		if (timely !== this.#publishedWaiting) {
+			this.#publishedWaiting = timely;
 			this.#parts.news.tellWaiting(this.#service, timely);
 		}
 	}
 
-	/** Refuses who has no chance, and asks for the first of the others. */
+	/** Refuses requests that cannot be served in time, then tries to reserve memory for the first of the others. */
 	async serve(): Promise<void> {
 		const outlook = this.#outlook();
-		this.#refuseHopeless(outlook);
-		let refused = 0;
+		this.#refuseUnservable(outlook);
+		let failed = 0;
 		for (const waiter of this.#queue.order(this.#parts.context.clock.now(), this.#start.valueMs)) {
-			if (refused >= askersPerRound) {
+			if (failed >= maxFailedSearches) {
 				return;
 			}
 
 			if (this.#queue.has(waiter) && !this.#queue.doesYield(waiter, this.#parts.context.clock.now(), outlook)) {
-				refused += await this.#ask(waiter) ? 0 : 1;
+				failed += await this.#reserveFor(waiter) ? 0 : 1;
 			}
 		}
 	}
 
-	/** Asks for one that waits; false where there was no room. */
-	async #ask(waiter: Waiting): Promise<boolean> {
-		const reservation = await this.#search.find(waiter.wish);
+	/** Tries to reserve memory for a waiting request; false if no replica has enough. */
+	async #reserveFor(waiter: QueuedRequest): Promise<boolean> {
+		const reservation = await this.#search.find(waiter.request);
 		if (reservation === undefined) {
 			return false;
 		}
 
 		if (this.#queue.has(waiter)) {
-			this.#noteGrant(waiter.wish, reservation, this.#parts.context.clock.now() - waiter.since);
+			this.#recordGrant(waiter.request, reservation, this.#parts.context.clock.now() - waiter.since);
 			waiter.resolve({kind: 'granted', reservation});
 		} else {
 			this.#parts.calls.cancelReservation(reservation.endpoint, reservation.name);
@@ -161,11 +160,11 @@
 		return true;
 	}
 
-	#refuseHopeless(outlook: Outlook): void {
+	#refuseUnservable(outlook: Outlook): void {
 		const {endpoints, context} = this.#parts;
 		const code = endpoints.countDecode(this.#service) > 0 ? 'overloaded' : 'endpointsDown';
 		for (const {waiter, detail} of this.#queue.findHopeless(context.clock.now(), outlook)) {
-			const retryAfterMs = isOff(context, 'comeBackTimes') ? comeBackMs : this.#queue.comeBackMs(waiter, context.clock.now(), outlook, context.random);
+			const retryAfterMs = isOff(context, 'comeBackTimes') ? defaultRetryAfterMs : this.#queue.comeBackMs(waiter, context.clock.now(), outlook, context.random);
 			waiter.resolve({
 				kind: 'refused', code, retryAfterMs, detail,
 			});
@@ -178,9 +177,9 @@
 		return {elsewhere: news.waitingElsewhere(this.#service), releasesPerS: this.rate.perSecond(replicas), startMs: this.#start.valueMs};
 	}
 
-	#stageOf({isStarted, job}: Wish): Waiter['stage'] {
+	#stageOf({isContinuation, job}: ReservationRequest): Waiter['stage'] {
 		const {context} = this.#parts;
-		if (isStarted) {
+		if (isContinuation) {
 			return 'started';
 		}
 
@@ -195,11 +194,11 @@
 		return job.isSecondTry && !isOff(context, 'secondTries') ? 'returned' : 'first';
 	}
 
-	#noteGrant({job, tokens, bearable}: Wish, {endpoint}: Reservation, waitedMs: number): void {
+	#recordGrant({job, tokens, capacityTokens}: ReservationRequest, {endpoint}: Reservation, waitedMs: number): void {
 		const {endpoints, news, context: {log}} = this.#parts;
-		this.rate.setCapacity(bearable);
-		endpoints.noteTaken(endpoint.id, tokens, readingMs);
-		news.tellPlaced(endpoint.id, tokens, readingMs + this.rate.holdMs);
+		this.rate.setCapacity(capacityTokens);
+		endpoints.noteTaken(endpoint.id, tokens, startDelayMs);
+		news.tellPlaced(endpoint.id, tokens, startDelayMs + this.rate.holdMs);
 		log('reserved', {
 			request: job.id, endpoint: endpoint.id, tokens, waitedMs: Math.round(waitedMs), waiting: this.size,
 		});
--- a/packages/relay/src/work/stage-orders.ts
+++ b/packages/relay/src/work/stage-orders.ts
@@ -1,11 +1,12 @@
 /**
- * Orders replicas to change their part. Safety: no two hosts give orders to
- * one replica within a lease's time, and fences rise. One host gives all
- * orders: the first by rank of those alive, while it sees a majority of all
- * hosts known and nothing about the fleet has changed for a while; whoever
- * is cut off sees a change first. The fence is the directory's position,
- * which outlives every process and rises also where revisions are given out
- * again; a host that takes over waits for a later one.
+ * Reassigns replicas between the prefill and decode stages. Safety: no two
+ * hosts send orders to one replica within the duration of a lease, and fencing
+ * tokens increase. A single leader sends all orders: the first live host by
+ * rank, while it sees a majority of the known hosts and membership has been
+ * stable for a while; a partitioned host notices a membership change first.
+ * The fencing token is the directory's position, which survives restarts and
+ * increases even if revisions are reused; a new leader waits for a later
+ * position.
  */
 import {type ReleaseRate} from '@gatehead/policy/relay/release-rate';
 import {OrdersUnderWay} from '@gatehead/policy/relay/orders-under-way';
@@ -21,23 +22,22 @@
 import {ownOrder, type Endpoints} from '../upstream/endpoints.js';
 import {type OwnCalls} from '../upstream/own-calls.js';
 
-/** Interval at which the split is looked at, in milliseconds: a tenth of what a change of part takes. */
-const lookMs = 500;
-/** Time without any change of the fleet before an order, in milliseconds: several times the longest lease of an order (3 s), and longer than a host that is cut off takes to notice. */
-const quietMs = 9000;
-/** Time for which a replica that changes its part gets nothing, in milliseconds, unless its new part is published sooner: six seconds of change and its last short streams. */
-const changeMs = 8000;
-/** Time between two orders for one service, in milliseconds: a change of part takes about six seconds. */
-const spacingMs = 7000;
-/** Time after a request waited for memory during which no decode replica is taken away, in milliseconds: about the pause between two bursts. */
-const shortMs = 6000;
-/** Least time that a prompt's reading is supposed to take, in milliseconds: keeps the pace finite before any was read. */
-const leastReadMs = 1;
-/** Outcomes of an order that was taken. */
-const takenOutcomes: ReadonlySet<string> = new Set(['200', '202']);
+/** Interval between checks of the split, in milliseconds; short compared with a stage change. */
+const checkIntervalMs = 500;
+/** Minimum time without a membership change before an order, in milliseconds; several times the longest order lease (3 s), and longer than a partitioned host takes to notice. */
+const minStableMs = 9000;
+/** Time for which a replica that changes stage gets no requests, in milliseconds, unless its new stage is published sooner: the change itself and its last short streams. */
+const stageChangeMs = 8000;
+/** Minimum time between orders for one service, in milliseconds; longer than a stage change. */
+const minOrderIntervalMs = 7000;
+/** Time after a request waited for memory during which no decode replica is reassigned, in milliseconds; about the pause between two bursts. */
+const shortageMs = 6000;
+/** Lower bound for the prefill time per prompt, in milliseconds; keeps the rate finite before the first prefill. */
+const minPrefillMs = 1;
+/** HTTP statuses of an accepted order. */
+const acceptedOutcomes: ReadonlySet<string> = new Set(['200', '202']);
 const millisecondsPerSecond = 1000;
 
-/** What the task works with. */
 export type StageOrderParts = {
 	readonly context: RelayContext;
 	readonly endpoints: Endpoints;
@@ -45,40 +45,39 @@
 	readonly fleet: Fleet;
 	readonly watch: DirectoryWatch;
 	readonly ownCalls: OwnCalls;
-	/** How fast a service's decode memory comes free. */
+	/** Estimated rate at which a service's decode memory is released. */
 	readonly rateOf: (service: string) => ReleaseRate;
-	/** When a request last waited for a service's memory, here or at a peer. */
+	/** Time at which a request last waited for a service's memory, at this host or at a peer. */
 	readonly waitedAt: (service: string) => number;
 };
 
-/** Gives orders, where it is this host's turn. */
+/** Sends stage orders while this host is the leader. */
 export class StageOrders {
 	readonly #parts: StageOrderParts;
 	readonly #splits = new Map<string, StageSplit>();
 	readonly #orderedAt = new Map<string, number>();
-	readonly #underWay = new OrdersUnderWay();
-	/** Directory position when this host became the one that orders; undefined: it is not. */
-	#ledSince: Position | undefined;
+	readonly #pendingOrders = new OrdersUnderWay();
+	/** Directory position when this host became the leader; undefined if it is not. */
+	#leaderSince: Position | undefined;
 	#timer: Timer | undefined;
 
 	constructor(parts: StageOrderParts) {
 		this.#parts = parts;
 	}
 
-	/** Starts to look. */
+	/** Starts the periodic checks. */
 	start(): void {
-		this.#timer = this.#parts.context.clock.after(lookMs, () => {
-			this.#look();
+		this.#timer = this.#parts.context.clock.after(checkIntervalMs, () => {
+			this.#rebalance();
 			this.start();
 		});
 	}
 
-	/** Stops. */
 	stop(): void {
 		this.#timer?.stop();
 	}
 
-	/** What requests met at a service. */
+	/** The split of a service and the prefill times that it is based on. */
 	splitOf(service: string): StageSplit {
 		let split = this.#splits.get(service);
 		if (split === undefined) {
@@ -89,20 +88,20 @@
 		return split;
 	}
 
-	#look(): void {
+	#rebalance(): void {
 		const {context: {clock}, routing, endpoints} = this.#parts;
-		if (!this.#mayOrder(clock.now()) || isOff(this.#parts.context, 'stageOrders')) {
+		if (!this.#isActiveLeader(clock.now()) || isOff(this.#parts.context, 'stageOrders')) {
 			return;
 		}
 
 		for (const {name, engine} of routing.table?.routing.services ?? []) {
-			const isDue = clock.now() - (this.#orderedAt.get(name) ?? Number.NEGATIVE_INFINITY) >= spacingMs;
+			const isDue = clock.now() - (this.#orderedAt.get(name) ?? Number.NEGATIVE_INFINITY) >= minOrderIntervalMs;
 			if (engine === undefined || !isDue) {
 				continue;
 			}
 
 			const isUsable = ({id}: Endpoint) => endpoints.isUsable(id);
-			const replicas = this.#underWay.apply(endpoints.book.listReady(name), clock.now());
+			const replicas = this.#pendingOrders.apply(endpoints.book.listReady(name), clock.now());
 			for (const change of this.splitOf(name).choose(replicas, this.#pacesOf(name), isUsable)) {
 				this.#orderedAt.set(name, clock.now());
 				void this.#order(change);
@@ -115,17 +114,17 @@
 		const {rateOf, waitedAt, context: {clock}} = this.#parts;
 		const rate = rateOf(service);
 		return {
-			prefillPerS: millisecondsPerSecond / Math.max(leastReadMs, readMs),
+			prefillPerS: millisecondsPerSecond / Math.max(minPrefillMs, readMs),
 			decodePerS: rate.perSecond(1),
 			seen: Math.min(read, rate.seen),
-			isShort: clock.now() - waitedAt(service) < shortMs,
+			isShort: clock.now() - waitedAt(service) < shortageMs,
 		};
 	}
 
-	#mayOrder(now: number): boolean {
+	#isActiveLeader(now: number): boolean {
 		const {fleet, watch} = this.#parts;
 		if (!fleet.isFirst()) {
-			this.#ledSince = undefined;
+			this.#leaderSince = undefined;
 			return false;
 		}
 
@@ -134,10 +133,10 @@
 			return false;
 		}
 
-		this.#ledSince ??= position;
-		const isQuiet = now - fleet.changedAt >= quietMs;
-		const mayFollow = !fleet.hasFollowed || isLater(position, this.#ledSince);
-		return isQuiet && mayFollow && fleet.hasMajority() && !watch.isDown;
+		this.#leaderSince ??= position;
+		const isStable = now - fleet.changedAt >= minStableMs;
+		const hasLaterPosition = !fleet.hasFollowed || isLater(position, this.#leaderSince);
+		return isStable && hasLaterPosition && fleet.hasMajority() && !watch.isDown;
 	}
 
 	async #order({endpoint, stage, reason}: StageChange): Promise<void> {
@@ -147,14 +146,14 @@
 			return;
 		}
 
-		// It turns requests away until it has changed its part
-		const pause = {endpoint: endpoint.id, leftMs: changeMs};
+		// The replica refuses requests until it has changed stage
+		const pause = {endpoint: endpoint.id, leftMs: stageChangeMs};
 		endpoints.hearPause(pause, ownOrder);
 		fleet.tellPause(pause);
-		this.#underWay.begin(endpoint.id, stage, clock.now());
+		this.#pendingOrders.begin(endpoint.id, stage, clock.now());
 		const outcome = await ownCalls.orderStage(endpoint, stage, self.host, fence);
-		if (!takenOutcomes.has(outcome)) {
-			this.#underWay.fail(endpoint.id);
+		if (!acceptedOutcomes.has(outcome)) {
+			this.#pendingOrders.fail(endpoint.id);
 		}
 
 		log('stageOrdered', {
