--- a/packages/relay/src/access/decisions.ts
+++ b/packages/relay/src/access/decisions.ts
@@ -1,9 +1,9 @@
 /**
- * What the configuration says of a request: its route, its service, whose it
- * is; or why not. The one place where a request is refused for the
- * configuration's sake. Safety: a request without a route, with a key that may
- * have been taken away, or of nobody, is put on no socket; a request is called
- * wrong for good only on evidence that no newer configuration is in force.
+ * Resolves a request against the configuration: its route, service and
+ * workspace, or the error to refuse it with. All refusals decided by the
+ * configuration come from here. Safety: a request without a route, with a key
+ * that may be revoked, or without a known caller never reaches a socket; a
+ * final refusal needs proof that no newer configuration is in force.
  */
 import {isFinal} from '@gatehead/policy/relay/final-refusals';
 import {type RouteTable} from '@gatehead/policy/relay/route-table';
@@ -14,50 +14,49 @@
 import {type Freshness} from './freshness.js';
 import {type Credential, type Gate} from './gate.js';
 
-/** Longest time for which a request waits for evidence before it is refused, in milliseconds: a reader that is silent, and then all others at once. */
-const longestWaitMs = 400;
-/** Part of the caller's time that it waits at the most: the rest is for another try. */
-const waitShare = 1 / 4;
+/** Maximum wait for a confirmation of the configuration before a request is refused, in milliseconds: the timeout of one unresponsive host, then of all others in parallel. */
+const maxWaitMs = 400;
+/** Maximum wait as a share of the caller's timeout; the rest is left for a retry. */
+const maxWaitShare = 1 / 4;
 
-/** What a request asks for. */
+/** The parts of a request that decide how it resolves. */
 export type Ask = Credential & {
 	readonly authority: string;
 	readonly target: string;
-	/** How long the caller waits, in milliseconds; undefined: it does not say. */
+	/** The caller's timeout in milliseconds; undefined if it sent none. */
 	readonly patienceMs: number | undefined;
 };
 
-/** What the configuration says of it. */
-export type Decision = {
+/** What a request resolves to. */
+export type ResolvedRequest = {
 	readonly table: RouteTable;
 	readonly route: Route;
 	readonly service: Service;
 	readonly workspace: Workspace | undefined;
 };
 
-/** What decisions are made from. */
-export type DecisionParts = {
+export type RequestResolverParts = {
 	readonly context: Pick<RelayContext, 'metrics' | 'random'>;
 	readonly routing: RoutingState;
 	readonly gate: Gate;
 	readonly freshness: Freshness;
-	/** When a caller may come back that found no configuration here, in milliseconds. */
+	/** `Retry-After` in milliseconds while this host has no configuration. */
 	readonly notReadyMs: (ask: Ask) => number;
 };
 
-/** Decides by the configuration in force. */
+/** Resolves requests against the current configuration. */
 export class Decisions {
-	readonly #parts: DecisionParts;
+	readonly #parts: RequestResolverParts;
 
-	constructor(parts: DecisionParts) {
+	constructor(parts: RequestResolverParts) {
 		this.#parts = parts;
 	}
 
-	/** Raises what the request is refused with. */
-	async decide(ask: Ask): Promise<Decision> {
+	/** Throws the failure that the request is to be refused with. */
+	async decide(ask: Ask): Promise<ResolvedRequest> {
 		const {gate, freshness} = this.#parts;
 		await gate.prepare(ask);
-		const first = this.#look(ask);
+		const first = this.#resolveOnce(ask);
 		if (!(first instanceof Failure)) {
 			return first;
 		}
@@ -66,10 +65,10 @@
 			throw first;
 		}
 
-		// However the news of a configuration is lost or late, who is refused here would not ask again
-		await freshness.proveRefusal(ask.arrivedAt, Math.min(longestWaitMs, waitShare * (ask.patienceMs ?? Number.POSITIVE_INFINITY)));
-		// A newer configuration may have come with the evidence
-		const second = this.#look(ask);
+		// A caller does not retry after a final refusal, so a stale configuration must not cause one
+		await freshness.proveRefusal(ask.arrivedAt, Math.min(maxWaitMs, maxWaitShare * (ask.patienceMs ?? Number.POSITIVE_INFINITY)));
+		// The confirmation may have brought a newer configuration
+		const second = this.#resolveOnce(ask);
 		if (!(second instanceof Failure)) {
 			return second;
 		}
@@ -84,10 +83,10 @@
 		}
 
 		metrics.add('refusalsUnproven', {reason: failure.code});
-		return fail('refusalUnproven', {retryAfterMs: freshness.comeBackMs, detail: failure.message});
+		return fail('refusalUnproven', {retryAfterMs: freshness.retryAfterMs, detail: failure.message});
 	}
 
-	#look(ask: Ask): Decision | Failure {
+	#resolveOnce(ask: Ask): ResolvedRequest | Failure {
 		const {routing: {table, version}, gate, context: {random}, notReadyMs} = this.#parts;
 		if (table === undefined) {
 			return new Failure('notReady', {retryAfterMs: notReadyMs(ask)});
--- a/packages/relay/src/access/freshness.test.ts
+++ b/packages/relay/src/access/freshness.test.ts
@@ -1,4 +1,8 @@
-/** Catalogue: what a host may believe of its list of keys, on a clock that the test moves: silence, late answers, peers that know no more, a host that stands still. */
+/**
+ * Guards against accepting keys, or sending final refusals, on a stale
+ * configuration: unresponsive hosts, late replies, hosts that know no more, a
+ * suspended process.
+ */
 import {setImmediate} from 'node:timers/promises';
 import {describe, it} from 'node:test';
 import {ignore} from '@gatehead/policy/utils/ignore';
@@ -29,16 +33,16 @@
 	};
 }
 
-/** What a peer answers: the age of its evidence, nothing known, a newer version, or silence. */
+/** A peer's reply: the age of its confirmation, no confirmation, a newer configuration, or none at all. */
 type PeerAnswer = {readonly ageMs?: number; readonly routing?: Routing} | 'silent';
 
-class Scene {
+class Fixture {
 	readonly clock = new ManualClock();
 	readonly sent: RelayMessage[] = [];
 	readonly renewed: string[] = [];
 	readonly routing: RoutingState;
 	readonly freshness: Freshness;
-	/** Whether the directory answers. */
+	/** Whether the directory responds. */
 	isUp = false;
 	peers = new Map<string, PeerAnswer>();
 
@@ -64,7 +68,7 @@
 		});
 	}
 
-	/** Lets time pass in small steps, as a process that runs sees it. */
+	/** Advances the clock in steps and runs pending callbacks after each, as in a running process. */
 	async run(milliseconds: number): Promise<void> {
 		for (let passed = 0; passed < milliseconds; passed += 20) {
 			this.clock.advance(20);
@@ -72,14 +76,14 @@
 		}
 	}
 
-	/** A request with a known key arrives; whether it may run. */
+	/** Simulates a request with a known key; returns whether it may run. */
 	async arrive(): Promise<boolean> {
 		const arrivedAt = this.clock.now();
-		const proving = this.freshness.proveKeys(arrivedAt, 80);
+		const refreshing = this.freshness.refreshForKeys(arrivedAt, 80);
 		await settle();
 		await this.run(100);
-		await proving;
-		return this.freshness.isProven(arrivedAt);
+		await refreshing;
+		return this.freshness.isConfirmed(arrivedAt);
 	}
 
 	async #confirm(): Promise<void> {
@@ -107,158 +111,158 @@
 	readonly name: string;
 	readonly isUp: boolean;
 	readonly peers: ReadonlyArray<readonly [string, PeerAnswer]>;
-	readonly isProven: boolean;
-	/** Whether others lack evidence too, as far as the host was told. */
-	readonly isShared?: boolean;
+	readonly isConfirmed: boolean;
+	/** Whether the host finds that its peers lack a confirmation too. */
+	readonly hasStalePeers?: boolean;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'the directory alone proves it', isUp: true, peers: [], isProven: true,
+		name: 'the directory alone confirms the configuration', isUp: true, peers: [], isConfirmed: true,
 	},
 	{
-		name: 'a reader that knows proves it', isUp: false, peers: [['reader', {ageMs: 300}]], isProven: true,
+		name: 'a peer with a recent confirmation confirms it', isUp: false, peers: [['reader', {ageMs: 300}]], isConfirmed: true,
 	},
 	{
-		name: 'a silent reader is passed over', isUp: false, peers: [['silent', 'silent'], ['reader', {ageMs: 300}]], isProven: false,
+		name: 'an unresponsive peer leaves the first request unconfirmed', isUp: false, peers: [['silent', 'silent'], ['reader', {ageMs: 300}]], isConfirmed: false,
 	},
 	{
-		name: 'a reader that knows no more proves nothing', isUp: false, peers: [['reader', {}]], isProven: false, isShared: true,
+		name: 'a peer without a confirmation confirms nothing', isUp: false, peers: [['reader', {}]], isConfirmed: false, hasStalePeers: true,
 	},
 	{
-		name: 'a reader whose evidence is as old proves nothing', isUp: false, peers: [['reader', {ageMs: 5500}]], isProven: false, isShared: true,
+		name: 'a peer whose confirmation is as old confirms nothing', isUp: false, peers: [['reader', {ageMs: 5500}]], isConfirmed: false, hasStalePeers: true,
 	},
 	{
-		name: 'nobody answers', isUp: false, peers: [['reader', 'silent']], isProven: false,
+		name: 'neither the peer nor the directory responds', isUp: false, peers: [['reader', 'silent']], isConfirmed: false,
 	},
 ];
 
-describe('evidence of keys', () => {
+describe('configuration freshness', () => {
 	for (const {
-		name, isUp, peers, isProven, isShared = false,
+		name, isUp, peers, isConfirmed, hasStalePeers = false,
 	} of cases) {
-		it(`after long silence: ${name}`, async () => {
-			const scene = new Scene();
-			scene.isUp = isUp;
-			scene.peers = new Map(peers);
-			await scene.run(6000);
-			expect(await scene.arrive()).toEqual(isProven);
-			await scene.run(1000);
-			expect(scene.freshness.isShared).toEqual(isShared);
+		it(`after the confirmation expired: ${name}`, async () => {
+			const fixture = new Fixture();
+			fixture.isUp = isUp;
+			fixture.peers = new Map(peers);
+			await fixture.run(6000);
+			expect(await fixture.arrive()).toEqual(isConfirmed);
+			await fixture.run(1000);
+			expect(fixture.freshness.hasStalePeers).toEqual(hasStalePeers);
 		});
 	}
 
-	it('a silent reader costs the first request its turn, not those behind', async () => {
-		const scene = new Scene();
-		scene.peers = new Map<string, PeerAnswer>([['silent', 'silent'], ['reader', {ageMs: 300}]]);
-		await scene.run(6000);
-		expect(await scene.arrive()).toEqual(false);
-		await scene.run(400);
-		expect([await scene.arrive(), scene.renewed]).toEqual([true, ['silent']]);
+	it('an unresponsive peer fails the first request but not later ones', async () => {
+		const fixture = new Fixture();
+		fixture.peers = new Map<string, PeerAnswer>([['silent', 'silent'], ['reader', {ageMs: 300}]]);
+		await fixture.run(6000);
+		expect(await fixture.arrive()).toEqual(false);
+		await fixture.run(400);
+		expect([await fixture.arrive(), fixture.renewed]).toEqual([true, ['silent']]);
 	});
 
-	it('counts from the asking: an answer that was long on its way is as old as its question', async () => {
-		const scene = new Scene();
-		scene.peers = new Map<string, PeerAnswer>([['reader', 'silent']]);
-		await scene.run(6000);
-		const askedAt = scene.clock.now();
-		void scene.freshness.proveKeys(askedAt, 80);
-		await scene.run(140);
-		scene.freshness.hear('reader', {kind: 'freshness', ask: 1, ageMs: 200});
+	it('a delayed reply counts from the time of its query', async () => {
+		const fixture = new Fixture();
+		fixture.peers = new Map<string, PeerAnswer>([['reader', 'silent']]);
+		await fixture.run(6000);
+		const askedAt = fixture.clock.now();
+		void fixture.freshness.refreshForKeys(askedAt, 80);
+		await fixture.run(140);
+		fixture.freshness.hear('reader', {kind: 'freshness', ask: 1, ageMs: 200});
 		await settle();
-		expect(scene.routing.confirmedAt).toEqual(askedAt - 200);
+		expect(fixture.routing.confirmedAt).toEqual(askedAt - 200);
 	});
 
-	it('a host that stood still lets nothing in on what it knew before', async () => {
-		const scene = new Scene();
-		scene.isUp = true;
-		expect(await scene.arrive()).toEqual(true);
-		scene.isUp = false;
-		scene.clock.advance(revocationMs + 1000);
-		expect(await scene.arrive()).toEqual(false);
+	it('a suspended process accepts no key on a confirmation from before', async () => {
+		const fixture = new Fixture();
+		fixture.isUp = true;
+		expect(await fixture.arrive()).toEqual(true);
+		fixture.isUp = false;
+		fixture.clock.advance(revocationMs + 1000);
+		expect(await fixture.arrive()).toEqual(false);
 	});
 
-	it('lapses where nobody answers, is said once, and comes back', async () => {
-		const scene = new Scene();
-		scene.isUp = true;
-		expect(await scene.arrive()).toEqual(true);
-		scene.isUp = false;
-		await scene.run(4600);
-		expect([await scene.arrive(), scene.freshness.isLost]).toEqual([true, false]);
-		await scene.run(400);
-		expect([await scene.arrive(), scene.freshness.isLost]).toEqual([false, true]);
-		scene.isUp = true;
-		await scene.run(400);
-		expect([await scene.arrive(), scene.freshness.isLost]).toEqual([true, false]);
+	it('expires without replies and recovers with them', async () => {
+		const fixture = new Fixture();
+		fixture.isUp = true;
+		expect(await fixture.arrive()).toEqual(true);
+		fixture.isUp = false;
+		await fixture.run(4600);
+		expect([await fixture.arrive(), fixture.freshness.isLost]).toEqual([true, false]);
+		await fixture.run(400);
+		expect([await fixture.arrive(), fixture.freshness.isLost]).toEqual([false, true]);
+		fixture.isUp = true;
+		await fixture.run(400);
+		expect([await fixture.arrive(), fixture.freshness.isLost]).toEqual([true, false]);
 	});
 
-	it('a newer configuration comes with the answer', async () => {
-		const scene = new Scene();
-		scene.peers = new Map<string, PeerAnswer>([['reader', {ageMs: 10, routing: makeRouting(7)}]]);
-		expect(await scene.arrive()).toEqual(true);
-		expect(scene.routing.version).toEqual(7);
+	it('a reply brings a newer configuration', async () => {
+		const fixture = new Fixture();
+		fixture.peers = new Map<string, PeerAnswer>([['reader', {ageMs: 10, routing: makeRouting(7)}]]);
+		expect(await fixture.arrive()).toEqual(true);
+		expect(fixture.routing.version).toEqual(7);
 	});
 
-	it('a refusal for good is proved where keys have no bound, and asks no more than once for many', async () => {
-		const scene = new Scene(new Map([['reader', {ageMs: 10}]]), withoutKeys);
-		await scene.run(6000);
-		const arrivedAt = scene.clock.now();
-		expect([scene.freshness.mayRefuse(arrivedAt), scene.freshness.isProven(arrivedAt)]).toEqual([false, true]);
-		await Promise.all(Array.from({length: 50}, async () => scene.freshness.proveRefusal(arrivedAt, 400)));
-		expect([scene.freshness.mayRefuse(arrivedAt), scene.sent.length]).toEqual([true, 1]);
-		await scene.run(1000);
-		expect(scene.freshness.mayRefuse(scene.clock.now())).toEqual(true);
-		await scene.run(200);
-		expect(scene.freshness.mayRefuse(scene.clock.now())).toEqual(false);
+	it('a final refusal is confirmed where keys have no bound, with one query for many requests', async () => {
+		const fixture = new Fixture(new Map([['reader', {ageMs: 10}]]), withoutKeys);
+		await fixture.run(6000);
+		const arrivedAt = fixture.clock.now();
+		expect([fixture.freshness.mayRefuse(arrivedAt), fixture.freshness.isConfirmed(arrivedAt)]).toEqual([false, true]);
+		await Promise.all(Array.from({length: 50}, async () => fixture.freshness.proveRefusal(arrivedAt, 400)));
+		expect([fixture.freshness.mayRefuse(arrivedAt), fixture.sent.length]).toEqual([true, 1]);
+		await fixture.run(1000);
+		expect(fixture.freshness.mayRefuse(fixture.clock.now())).toEqual(true);
+		await fixture.run(200);
+		expect(fixture.freshness.mayRefuse(fixture.clock.now())).toEqual(false);
 	});
 
-	it('nor is anything refused for good where nobody can tell, or a newer version cannot be read', async () => {
-		const scene = new Scene(new Map([['silent', 'silent']]), withoutKeys);
-		await scene.run(6000);
-		const arrivedAt = scene.clock.now();
-		const proving = scene.freshness.proveRefusal(arrivedAt, 400);
-		await scene.run(500);
-		await proving;
-		expect(scene.freshness.mayRefuse(arrivedAt)).toEqual(false);
-		scene.isUp = true;
-		scene.routing.fallBehind();
-		await scene.run(400);
-		const later = scene.freshness.proveRefusal(scene.clock.now(), 400);
-		await scene.run(500);
+	it('no final refusal without a reply or with an unreadable newer version', async () => {
+		const fixture = new Fixture(new Map([['silent', 'silent']]), withoutKeys);
+		await fixture.run(6000);
+		const arrivedAt = fixture.clock.now();
+		const refreshing = fixture.freshness.proveRefusal(arrivedAt, 400);
+		await fixture.run(500);
+		await refreshing;
+		expect(fixture.freshness.mayRefuse(arrivedAt)).toEqual(false);
+		fixture.isUp = true;
+		fixture.routing.fallBehind();
+		await fixture.run(400);
+		const later = fixture.freshness.proveRefusal(fixture.clock.now(), 400);
+		await fixture.run(500);
 		await later;
-		expect(scene.freshness.mayRefuse(arrivedAt)).toEqual(false);
+		expect(fixture.freshness.mayRefuse(arrivedAt)).toEqual(false);
 	});
 
-	it('a version that cannot be read ends all evidence until a newer one can', async () => {
-		const scene = new Scene();
-		scene.isUp = true;
-		scene.routing.fallBehind();
-		expect(await scene.arrive()).toEqual(false);
-		scene.routing.offer(makeRouting(2), 'test');
-		await scene.run(400);
-		expect(await scene.arrive()).toEqual(true);
+	it('an unreadable version voids the confirmation until a readable one arrives', async () => {
+		const fixture = new Fixture();
+		fixture.isUp = true;
+		fixture.routing.fallBehind();
+		expect(await fixture.arrive()).toEqual(false);
+		fixture.routing.offer(makeRouting(2), 'test');
+		await fixture.run(400);
+		expect(await fixture.arrive()).toEqual(true);
 	});
 
-	it('many requests at once bring one question', async () => {
-		const scene = new Scene();
-		scene.peers = new Map<string, PeerAnswer>([['reader', {ageMs: 10}]]);
-		await scene.run(6000);
-		await Promise.all(Array.from({length: 50}, async () => scene.freshness.proveKeys(scene.clock.now(), 80)));
-		expect(scene.sent.length).toEqual(1);
+	it('concurrent requests share one query', async () => {
+		const fixture = new Fixture();
+		fixture.peers = new Map<string, PeerAnswer>([['reader', {ageMs: 10}]]);
+		await fixture.run(6000);
+		await Promise.all(Array.from({length: 50}, async () => fixture.freshness.refreshForKeys(fixture.clock.now(), 80)));
+		expect(fixture.sent.length).toEqual(1);
 	});
 
-	it('as a reader it asks the directory before it answers from old evidence, and says nothing that it does not know', async () => {
-		const scene = new Scene();
-		scene.freshness.hearWanted('peer', {
+	it('a queried host asks the directory if its confirmation is old, and reports no age without one', async () => {
+		const fixture = new Fixture();
+		fixture.freshness.hearWanted('peer', {
 			kind: 'freshnessWanted', ask: 9, routingVersion: 1, mostAgeMs: 1800,
 		});
 		await settle();
-		scene.isUp = true;
-		scene.freshness.hearWanted('peer', {
+		fixture.isUp = true;
+		fixture.freshness.hearWanted('peer', {
 			kind: 'freshnessWanted', ask: 10, routingVersion: 0, mostAgeMs: 1800,
 		});
 		await settle();
-		expect(scene.sent).toEqual([{kind: 'freshness', ask: 9}, {
+		expect(fixture.sent).toEqual([{kind: 'freshness', ask: 9}, {
 			kind: 'freshness', ask: 10, ageMs: 0, routing: makeRouting(1),
 		}]);
 	});
--- a/packages/relay/src/access/freshness.ts
+++ b/packages/relay/src/access/freshness.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps the evidence that this host's configuration is the newest. A host
- * that lets requests in by their keys, or is about to refuse one for good,
- * asks a reader of the directory, which answers with the age of its own
- * evidence; where that one does not answer, the host asks the other readers
- * and the directory itself at once. Safety: evidence counts from the instant
- * of asking on this host's own clock, so that neither a slow message nor a
- * process that stood still makes it look younger than it is.
+ * Tracks when this host's configuration was last confirmed to be the newest. A
+ * host that accepts keys, or is about to send a final refusal, asks a host
+ * that reads the directory, which replies with the age of its own
+ * confirmation; if that host does not reply, the others and the directory are
+ * asked in parallel. Safety: a confirmation counts from the time of the query
+ * by this host's own clock, so neither a delayed message nor a suspended
+ * process makes it look more recent than it is.
  */
 import {agesFor, type EvidenceAges} from '@gatehead/policy/relay/evidence';
 import {mayRefuse} from '@gatehead/policy/relay/final-refusals';
@@ -15,59 +15,58 @@
 import {type AccessParts} from './access-parts.js';
 import {Questions} from './questions.js';
 
-/** Time that a reader gets to answer, in milliseconds: fifty times the way between halls, since small hosts are busy; the bound leaves room for several. */
-const answerMs = 200;
-/** Pause after a round of questions in which nobody could tell, in milliseconds: a directory that is away is asked three times a second by each hall's host. */
-const againMs = 300;
+/** Timeout of a query to another host, in milliseconds; allows for busy hosts, and is short enough for several queries within the revocation bound. */
+const responseTimeoutMs = 200;
+/** Pause after a round of queries that confirmed nothing, in milliseconds; limits the load on a directory that is recovering. */
+const retryDelayMs = 300;
 
-/** When a caller may come back that was refused because this host alone lacks evidence, in milliseconds: at once, elsewhere. */
-const elsewhereMs = 50;
-/** The same where other hosts lack it too, in milliseconds: the directory is away, for seconds. */
-const awayMs = 2000;
+/** `Retry-After` if only this host lacks a confirmation, in milliseconds: another host can serve the retry at once. */
+const retryElsewhereMs = 50;
+/** `Retry-After` if other hosts lack a confirmation too, in milliseconds: the directory is down, typically for seconds. */
+const retryLaterMs = 2000;
 
-type Answer = RelayMessageOf<'freshness'> & {readonly from: string};
+type FreshnessReply = RelayMessageOf<'freshness'> & {readonly from: string};
 
-/** What the task works with. */
 export type FreshnessParts = AccessParts & {
 	readonly watch: () => Pick<DirectoryWatch, 'confirm'>;
-	/** Hosts to ask, in order; this one may be among them. */
+	/** Hosts to query, in order of preference; may include this one. */
 	readonly listConfirmers: () => readonly string[];
 };
 
-/** One host's evidence. */
+/** Freshness of this host's configuration. */
 export class Freshness {
 	readonly #parts: FreshnessParts;
 	readonly #ages: EvidenceAges;
-	readonly #questions: Questions<Answer>;
-	#renewing: Promise<void> | undefined;
+	readonly #requests: Questions<FreshnessReply>;
+	#refreshing: Promise<void> | undefined;
 	#failedAt = Number.NEGATIVE_INFINITY;
-	/** In the last round that brought nothing, some peer answered: others know no more either. */
-	#isShared = false;
+	/** Whether a peer replied in the last round that confirmed nothing, so that other hosts lack a confirmation too. */
+	#hasStalePeers = false;
 	#isLost = false;
 
 	constructor(parts: FreshnessParts) {
 		const {context: {clock, settings: {access}}} = parts;
 		this.#parts = parts;
 		this.#ages = agesFor(access);
-		this.#questions = new Questions(clock);
+		this.#requests = new Questions(clock);
 	}
 
-	/** Whether requests with keys may be let in at all now. */
+	/** Whether the confirmation is too old to accept requests with keys, as last checked. */
 	get isLost(): boolean {
 		return this.#isLost;
 	}
 
-	/** Whether other hosts lack evidence too, as far as this one was told. */
-	get isShared(): boolean {
-		return this.#isShared;
+	/** Whether other hosts, as far as known, lack a confirmation too. */
+	get hasStalePeers(): boolean {
+		return this.#hasStalePeers;
 	}
 
-	/** When a caller may come back that is refused for want of evidence, in milliseconds. */
-	get comeBackMs(): number {
-		return this.#isShared ? awayMs : elsewhereMs;
+	/** `Retry-After` for requests refused for lack of a confirmation, in milliseconds. */
+	get retryAfterMs(): number {
+		return this.#hasStalePeers ? retryLaterMs : retryElsewhereMs;
 	}
 
-	/** Whether a request that arrived at an instant may be refused for good. */
+	/** Whether a request that arrived at the given time may get a final refusal. */
 	mayRefuse(arrivedAt: number): boolean {
 		const {routing} = this.#parts;
 		return mayRefuse({
@@ -75,63 +74,63 @@
 		});
 	}
 
-	/** Whether known keys may be relied on for a request that arrived at an instant. */
-	isProven(arrivedAt: number): boolean {
+	/** Whether the key list is recent enough for a request that arrived at the given time. */
+	isConfirmed(arrivedAt: number): boolean {
 		return this.#parts.routing.confirmedAt >= arrivedAt - this.#ages.mostMs;
 	}
 
-	/** Renews the evidence for keys where it grows old; waits for that, up to a limit, only where it has lapsed. */
-	async proveKeys(arrivedAt: number, waitMs: number): Promise<void> {
+	/** Refreshes an aging confirmation in the background; waits for the refresh, up to `waitMs`, only if the confirmation has expired. */
+	async refreshForKeys(arrivedAt: number, waitMs: number): Promise<void> {
 		if (this.#parts.routing.confirmedAt >= arrivedAt - this.#ages.renewMs) {
 			return;
 		}
 
-		const renewing = this.#renew();
-		if (this.isProven(arrivedAt)) {
+		const refreshing = this.#refresh();
+		if (this.isConfirmed(arrivedAt)) {
 			return;
 		}
 
-		await this.#wait(renewing, waitMs);
-		this.#note(this.isProven(arrivedAt));
+		await this.#wait(refreshing, waitMs);
+		this.#recordState(this.isConfirmed(arrivedAt));
 	}
 
-	/** Sees to evidence for a refusal, up to a limit; a newer configuration may come with it. */
+	/** Refreshes the confirmation for a final refusal, waiting up to `waitMs`; may bring a newer configuration. */
 	async proveRefusal(arrivedAt: number, waitMs: number): Promise<void> {
 		if (!this.mayRefuse(arrivedAt)) {
-			await this.#wait(this.#renew(), waitMs);
+			await this.#wait(this.#refresh(), waitMs);
 		}
 	}
 
-	/** Answers a peer. */
+	/** Replies to a host that asks for a confirmation. */
 	hearWanted(from: string, {ask, routingVersion, mostAgeMs}: RelayMessageOf<'freshnessWanted'>): void {
 		const {watch} = this.#parts;
 		const ageMs = this.#ageMs;
 		if (ageMs <= Math.min(mostAgeMs, this.#ages.refreshMs)) {
-			this.#answer(from, ask, routingVersion);
+			this.#respond(from, ask, routingVersion);
 			return;
 		}
 
 		const confirming = watch().confirm();
 		if (ageMs <= mostAgeMs) {
-			this.#answer(from, ask, routingVersion);
+			this.#respond(from, ask, routingVersion);
 			return;
 		}
 
 		void confirming.then(() => {
-			this.#answer(from, ask, routingVersion);
+			this.#respond(from, ask, routingVersion);
 		});
 	}
 
-	/** Takes a peer's answer. */
+	/** Handles the reply to a query. */
 	hear(from: string, message: RelayMessageOf<'freshness'>): void {
-		this.#questions.answer(message.ask, {...message, from});
+		this.#requests.answer(message.ask, {...message, from});
 	}
 
 	get #ageMs(): number {
 		return this.#parts.context.clock.now() - this.#parts.routing.confirmedAt;
 	}
 
-	#answer(host: string, ask: number, routingVersion: number): void {
+	#respond(host: string, ask: number, routingVersion: number): void {
 		const {routing, send} = this.#parts;
 		const ageMs = this.#ageMs;
 		send(host, {
@@ -142,57 +141,57 @@
 		});
 	}
 
-	async #renew(): Promise<void> {
+	async #refresh(): Promise<void> {
 		const {clock} = this.#parts.context;
-		if (clock.now() - this.#failedAt < againMs) {
+		if (clock.now() - this.#failedAt < retryDelayMs) {
 			return;
 		}
 
-		this.#renewing ??= this.#askAround().finally(() => {
-			this.#renewing = undefined;
+		this.#refreshing ??= this.#queryHosts().finally(() => {
+			this.#refreshing = undefined;
 		});
-		return this.#renewing;
+		return this.#refreshing;
 	}
 
-	async #askAround(): Promise<void> {
+	async #queryHosts(): Promise<void> {
 		const {clock} = this.#parts.context;
-		const [first, ...others] = this.#listToAsk();
-		const hasFirst = await this.#ask(first);
+		const [first, ...others] = this.#listTargets();
+		const hasFirstAnswered = await this.#query(first);
 		if (this.#isRecent(clock.now())) {
-			this.#isShared = false;
-			this.#note(true);
+			this.#hasStalePeers = false;
+			this.#recordState(true);
 			return;
 		}
 
-		// Somebody waits: the others are asked together, since each may be as silent as the first
-		const answered = await Promise.all(others.map(async host => this.#ask(host)));
-		this.#isShared = hasFirst || answered.includes(true);
+		// Requests are waiting, and the others may be unresponsive too, so they are queried in parallel
+		const answered = await Promise.all(others.map(async host => this.#query(host)));
+		this.#hasStalePeers = hasFirstAnswered || answered.includes(true);
 		if (this.#isRecent(clock.now())) {
-			this.#isShared = false;
-			this.#note(true);
+			this.#hasStalePeers = false;
+			this.#recordState(true);
 			return;
 		}
 
 		this.#failedAt = clock.now();
 	}
 
-	/** Whether the evidence serves for what comes next, keys and refusals alike. */
+	/** Whether the confirmation is recent enough both for keys and for final refusals. */
 	#isRecent(now: number): boolean {
 		const {renewMs, refusalMs} = this.#ages;
 		return this.#parts.routing.confirmedAt >= now - Math.min(renewMs, refusalMs);
 	}
 
-	/** Whether a peer answered, with whatever age; the directory's answer shows in the evidence. */
-	async #ask(host: string | undefined): Promise<boolean> {
+	/** Whether a peer replied, with a confirmation of any age; false for the directory, whose reply updates `confirmedAt`. */
+	async #query(host: string | undefined): Promise<boolean> {
 		if (host === undefined) {
 			return false;
 		}
 
-		return host === this.#parts.context.self.host ? this.#askDirectory() : this.#askPeer(host);
+		return host === this.#parts.context.self.host ? this.#queryDirectory() : this.#queryPeer(host);
 	}
 
-	/** Readers in the order to ask them, and this host itself at the end, which stands for the directory. */
-	#listToAsk(): string[] {
+	/** Hosts in the order to query them, ending with this host, which stands for the directory. */
+	#listTargets(): string[] {
 		const {context, listConfirmers} = this.#parts;
 		const {self} = context;
 		const confirmers = isOff(context, 'peerEvidence') ? [] : listConfirmers();
@@ -201,23 +200,23 @@
 		return isFirst ? [self.host, ...peers, self.host] : [...peers, self.host];
 	}
 
-	async #askDirectory(): Promise<boolean> {
+	async #queryDirectory(): Promise<boolean> {
 		await this.#parts.watch().confirm();
 		return false;
 	}
 
-	/** Whether the peer answered, with whatever age. */
-	async #askPeer(host: string): Promise<boolean> {
+	/** Whether the peer replied, with a confirmation of any age. */
+	async #queryPeer(host: string): Promise<boolean> {
 		const {context: {clock, metrics}, routing, send} = this.#parts;
 		const askedAt = clock.now();
-		const answer = await this.#questions.ask(answerMs, ask => {
+		const answer = await this.#requests.ask(responseTimeoutMs, ask => {
 			send(host, {
 				kind: 'freshnessWanted', ask, routingVersion: routing.version, mostAgeMs: this.#ages.givenMs,
 			});
 		});
 		metrics.add('evidenceAsked', {outcome: answer === undefined ? 'silent' : 'answered'});
 		if (answer === undefined) {
-			// It is no neighbour whose heartbeats would show that the link is dead
+			// No heartbeats are exchanged with this host, so only the timeout reveals a broken link
 			this.#parts.renew(host);
 			return false;
 		}
@@ -233,24 +232,24 @@
 		return true;
 	}
 
-	async #wait(renewing: Promise<void>, waitMs: number): Promise<void> {
+	async #wait(refreshing: Promise<void>, waitMs: number): Promise<void> {
 		const {clock} = this.#parts.context;
 		await new Promise<void>(resolve => {
 			const timer = clock.after(waitMs, resolve);
-			void renewing.then(() => {
+			void refreshing.then(() => {
 				timer.stop();
 				resolve();
 			});
 		});
 	}
 
-	#note(isProven: boolean): void {
-		if (isProven !== this.#isLost) {
+	#recordState(isConfirmed: boolean): void {
+		if (isConfirmed !== this.#isLost) {
 			return;
 		}
 
-		this.#isLost = !isProven;
+		this.#isLost = !isConfirmed;
 		const {context: {log}, routing} = this.#parts;
-		log(isProven ? 'keysConfirmed' : 'keysOutdatedSince', {version: routing.version, ageMs: Math.round(this.#ageMs), peersKnow: this.#isShared});
+		log(isConfirmed ? 'keysConfirmed' : 'keysOutdatedSince', {version: routing.version, ageMs: Math.round(this.#ageMs), peersKnow: this.#hasStalePeers});
 	}
 }
--- a/packages/relay/src/access/gate.ts
+++ b/packages/relay/src/access/gate.ts
@@ -1,7 +1,6 @@
 /**
- * Says whose a request is and whether it may run: its key, how fresh the
- * list of keys is, and its workspace's quota. Safety: a request with a key
- * that may have been taken away, or that nobody holds, is put on no socket.
+ * Authenticates requests and charges workspace quotas. Safety: a request with
+ * an unknown key, or with one that may be revoked, never reaches a socket.
  */
 import {type RouteTable} from '@gatehead/policy/relay/route-table';
 import {fail, Failure} from '@gatehead/schema/failure';
@@ -11,22 +10,21 @@
 import {type Freshness} from './freshness.js';
 import {type QuotaDesk} from './quota-desk.js';
 
-/** Time for which a request waits for evidence, in milliseconds: a reader at hand answers in ten, and who is refused sooner is served sooner elsewhere. */
-const waitMs = 80;
-/** What the gate works with. */
+/** Maximum wait for a confirmation of the key list, in milliseconds; a host nearby replies within ten, and a caller that is refused early can retry elsewhere early. */
+const confirmationWaitMs = 80;
 export type GateParts = {
 	readonly routing: RoutingState;
 	readonly freshness: Freshness;
 	readonly quotas: QuotaDesk;
 };
 
-/** What a request shows of its caller, and when it arrived. */
+/** A request's key and arrival time. */
 export type Credential = {
 	readonly keyDigest: string | undefined;
 	readonly arrivedAt: number;
 };
 
-/** Lets requests in. */
+/** Authentication and quotas of requests. */
 export class Gate {
 	readonly #parts: GateParts;
 
@@ -34,15 +32,15 @@
 		this.#parts = parts;
 	}
 
-	/** Sees to it that the list of keys is fresh enough for a request, as far as that can be had soon. To be called before the request's route is looked up, since it may bring a newer configuration. */
+	/** Makes sure that the key list is recent enough for a request, if that is possible soon. Call it before looking up the route, since it may bring a newer configuration. */
 	async prepare({keyDigest, arrivedAt}: Credential): Promise<void> {
 		const {routing: {table}, freshness} = this.#parts;
 		if (keyDigest !== undefined && table?.workspaceOf(keyDigest) !== undefined) {
-			await freshness.proveKeys(arrivedAt, waitMs);
+			await freshness.refreshForKeys(arrivedAt, confirmationWaitMs);
 		}
 	}
 
-	/** The workspace of a request; undefined where none is asked for. Fails with `callerUnknown` and `keysOutdated`. */
+	/** Returns the workspace of a request, undefined if the route needs none, or a `callerUnknown` or `keysOutdated` failure. */
 	identify(table: RouteTable, {isPublic}: Route, {keyDigest, arrivedAt}: Credential): Workspace | Failure | undefined {
 		if (!table.hasWorkspaces) {
 			return undefined;
@@ -58,10 +56,10 @@
 		}
 
 		const {freshness} = this.#parts;
-		return freshness.isProven(arrivedAt) ? workspace : new Failure('keysOutdated', {retryAfterMs: freshness.comeBackMs});
+		return freshness.isConfirmed(arrivedAt) ? workspace : new Failure('keysOutdated', {retryAfterMs: freshness.retryAfterMs});
 	}
 
-	/** Takes a request's cost out of its workspace's quota; returns the cost. Raises `quotaSpent`. */
+	/** Charges a request to its workspace's quota and returns the cost, in the quota's unit. Throws `quotaSpent`. */
 	async charge(workspace: Workspace | undefined, facts: RequestFacts): Promise<number> {
 		if (workspace?.quota === undefined) {
 			return 0;
@@ -76,7 +74,7 @@
 		return cost;
 	}
 
-	/** Gives back what a request cost that ran nowhere. */
+	/** Refunds the cost of a request that no endpoint ran. */
 	giveBack(workspace: Workspace | undefined, cost: number): void {
 		if (workspace !== undefined && cost > 0) {
 			this.#parts.quotas.giveBack(workspace, cost);
--- a/packages/relay/src/access/questions.ts
+++ b/packages/relay/src/access/questions.ts
@@ -1,36 +1,36 @@
-/** Questions to peers that wait for their answers. Neither safety nor efficiency rests here: an answer that never comes ends with its time limit. */
+/** Correlates requests to peers with their replies by id. */
 import {type Clock} from '@gatehead/policy/utils/clock';
 
-/** Questions of one kind. */
+/** Pending requests of one kind. */
 export class Questions<Answer> {
 	readonly #clock: Clock;
-	readonly #open = new Map<number, (answer: Answer) => void>();
-	#made = 0;
+	readonly #pending = new Map<number, (answer: Answer) => void>();
+	#lastId = 0;
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
 	}
 
-	/** Asks, and resolves with the answer, or with undefined where none comes in time. */
-	async ask(limitMs: number, send: (ask: number) => void): Promise<Answer | undefined> {
-		this.#made += 1;
-		const ask = this.#made;
+	/** Sends a request under a new id; resolves with the reply, or with undefined after `timeoutMs`. */
+	async ask(timeoutMs: number, send: (id: number) => void): Promise<Answer | undefined> {
+		this.#lastId += 1;
+		const id = this.#lastId;
 		return new Promise(resolve => {
-			const timer = this.#clock.after(limitMs, () => {
-				this.#open.delete(ask);
+			const timer = this.#clock.after(timeoutMs, () => {
+				this.#pending.delete(id);
 				resolve(undefined);
 			});
-			this.#open.set(ask, answer => {
+			this.#pending.set(id, answer => {
 				timer.stop();
-				this.#open.delete(ask);
+				this.#pending.delete(id);
 				resolve(answer);
 			});
-			send(ask);
+			send(id);
 		});
 	}
 
-	/** Takes an answer; one that comes late is nobody's any more. */
-	answer(ask: number, answer: Answer): void {
-		this.#open.get(ask)?.(answer);
+	/** Settles a pending request; a reply after the timeout is ignored. */
+	answer(id: number, answer: Answer): void {
+		this.#pending.get(id)?.(answer);
 	}
 }
--- a/packages/relay/src/access/quota-desk.ts
+++ b/packages/relay/src/access/quota-desk.ts
@@ -1,8 +1,10 @@
 /**
- * Quotas of workspaces over all hosts: this host's accounts, from which its
- * requests are paid, and the windows of those workspaces whose quota it deals
- * out to the others. Nothing is written anywhere: a keeper that is lost is
- * replaced by the next by rank. Safety of the bound: policy/relay/quota-*.
+ * Distributed workspace quotas. Each workspace has a keeper, a host that
+ * grants parts of the quota to the other hosts. This module holds the local
+ * accounts that pay for this host's requests, and the windows of the
+ * workspaces that this host keeps. Nothing is persisted: a failed keeper is
+ * replaced by the next host by rank. Safety: the bound on total use rests on
+ * policy/relay/quota-*.
  */
 import {QuotaAccount} from '@gatehead/policy/relay/quota-account';
 import {QuotaWindow, type QuotaGrant, type QuotaWish} from '@gatehead/policy/relay/quota-window';
@@ -13,87 +15,86 @@
 import {type AccessParts} from './access-parts.js';
 import {Questions} from './questions.js';
 
-/** Time that a keeper gets to answer, in milliseconds: thirty times the way between halls, an eighth of a usual target. */
-const answerMs = 120;
-/** Keepers asked before this host deals out its own part of the quota. */
-const mostKeepers = 2;
-/** Part of the allowance that all hosts together may use on credit, before their keeper has answered: what is dealt out of it besides is a quarter. */
+/** Timeout of a request to a keeper, in milliseconds; an eighth of a typical target. */
+const responseTimeoutMs = 120;
+/** Maximum keepers asked before this host grants itself its own share of the quota. */
+const maxKeepers = 2;
+/** Share of the allowance that all hosts together may spend on credit, before their keepers have replied. */
 const creditShare = 0.25;
-/** Shortest time after which a refused caller comes back, in milliseconds: a keeper tells none that is shorter. */
-const leastWaitMs = 250;
+/** Minimum `Retry-After` of a refusal, in milliseconds; keepers return none that is shorter. */
+const minRetryAfterMs = 250;
 
-/** What the desk works with. */
 export type QuotaDeskParts = AccessParts & {
-	/** Hosts heard by this one, itself among them. */
+	/** Live hosts as seen by this one, including itself. */
 	readonly listHeard: () => readonly string[];
-	/** Hosts known, those not heard any more among them. */
+	/** Number of known hosts, including those that have failed. */
 	readonly countKnown: () => number;
 };
 
-/** What comes of asking for a quota. */
-export type QuotaAnswer
+/** Outcome of charging a quota. */
+export type QuotaDecision
 	= | {readonly kind: 'granted'}
 		| {readonly kind: 'refused'; readonly waitMs: number; readonly detail: string};
 
 type Waiter = {
 	readonly cost: number;
-	readonly resolve: (answer: QuotaAnswer) => void;
+	readonly resolve: (answer: QuotaDecision) => void;
 };
 
-type Desk = {
+type WorkspaceQuota = {
 	readonly account: QuotaAccount;
 	quota: Quota;
 	waiters: Waiter[];
-	isAsking: boolean;
+	isRequesting: boolean;
 };
 
-/** A host's quotas. */
+/** The workspace quotas of one host. */
 export class QuotaDesk {
 	readonly #parts: QuotaDeskParts;
-	readonly #questions: Questions<QuotaGrant>;
-	readonly #desks = new Map<string, Desk>();
+	readonly #requests: Questions<QuotaGrant>;
+	readonly #entries = new Map<string, WorkspaceQuota>();
 	readonly #windows = new Map<string, QuotaWindow>();
-	/** When hosts came or went last: since then the same ones deal out the same quotas. */
-	#dealsSince: number;
+	/** Time of the last membership change; since then the same hosts have kept the same quotas. */
+	#fleetChangedAt: number;
 
 	constructor(parts: QuotaDeskParts) {
-		this.#dealsSince = parts.context.clock.now();
+		this.#fleetChangedAt = parts.context.clock.now();
 		this.#parts = parts;
-		this.#questions = new Questions(parts.context.clock);
+		this.#requests = new Questions(parts.context.clock);
 	}
 
-	/** Takes what a request costs out of its workspace's quota. */
-	async take({name, quota}: Workspace, cost: number): Promise<QuotaAnswer> {
+	/** Charges a request to its workspace's quota, asking a keeper if the local account does not cover it. */
+	async take({name, quota}: Workspace, cost: number): Promise<QuotaDecision> {
 		if (quota === undefined) {
 			return {kind: 'granted'};
 		}
 
 		const {clock} = this.#parts.context;
-		const desk = this.#deskOf(name, quota);
-		const answer = desk.account.take(cost, this.#credit, clock.now());
+		const entry = this.#entryOf(name, quota);
+		const answer = entry.account.take(cost, this.#credit, clock.now());
 		if (answer === 'refused') {
-			return {kind: 'refused', waitMs: desk.account.refusedUntil - clock.now(), detail: describe(name, desk, cost)};
+			return {kind: 'refused', waitMs: entry.account.refusedUntil - clock.now(), detail: describeRefusal(name, entry, cost)};
 		}
 
 		if (answer === 'granted') {
-			if (desk.account.isLow(clock.now())) {
-				void this.#ask(name, desk);
+			if (entry.account.isLow(clock.now())) {
+				void this.#request(name, entry);
 			}
 
 			return {kind: 'granted'};
 		}
 
 		return new Promise(resolve => {
-			desk.waiters.push({cost, resolve});
-			void this.#ask(name, desk);
+			entry.waiters.push({cost, resolve});
+			void this.#request(name, entry);
 		});
 	}
 
-	/** Other hosts came or went: what is not dealt out here any more is forgotten, and what is dealt out from now on may have been by others until now. */
+	/** Handles a membership change: drops the windows of workspaces that have another keeper now. Windows created later allow for grants that a previous keeper made until now. */
 	noteFleetChange(): void {
 		const {context: {clock, self}, listHeard} = this.#parts;
 		const heard = listHeard();
-		this.#dealsSince = clock.now();
+		this.#fleetChangedAt = clock.now();
 		for (const workspace of this.#windows.keys()) {
 			if (rankKeepers(workspace, heard)[0] !== self.host) {
 				this.#windows.delete(workspace);
@@ -101,97 +102,97 @@
 		}
 	}
 
-	/** Gives back what a request cost that ran nowhere. */
+	/** Refunds the cost of a request that no endpoint ran. */
 	giveBack({name, quota}: Workspace, cost: number): void {
 		if (quota !== undefined) {
-			this.#deskOf(name, quota).account.giveBack(cost, this.#parts.context.clock.now());
+			this.#entryOf(name, quota).account.giveBack(cost, this.#parts.context.clock.now());
 		}
 	}
 
-	/** Answers a host that asks this one as a keeper. */
+	/** Handles a request to this host as a keeper. */
 	hearWanted(from: string, {ask, workspace, isStandIn, ...wish}: RelayMessageOf<'quotaWanted'>): void {
 		const quota = this.#quotaOf(workspace);
 		if (quota !== undefined) {
-			this.#parts.send(from, {kind: 'quotaGranted', ask, ...this.#deal(workspace, quota, wish, isStandIn)});
+			this.#parts.send(from, {kind: 'quotaGranted', ask, ...this.#grant(workspace, quota, wish, isStandIn)});
 		}
 	}
 
-	/** Takes a keeper's answer. */
+	/** Handles a keeper's reply. */
 	hearGranted({ask, ...grant}: RelayMessageOf<'quotaGranted'>): void {
-		this.#questions.answer(ask, grant);
+		this.#requests.answer(ask, grant);
 	}
 
-	/** Part of a workspace's allowance that one host may use on credit. */
+	/** Share of a workspace's allowance that one host may spend on credit. */
 	get #credit(): number {
 		const {context: {settings: {access}}, countKnown} = this.#parts;
 		return creditShare * access.quotaAllowance / Math.max(1, countKnown());
 	}
 
-	#deskOf(name: string, quota: Quota): Desk {
-		let desk = this.#desks.get(name);
-		if (desk === undefined) {
-			desk = {
-				account: new QuotaAccount(), quota, waiters: [], isAsking: false,
+	#entryOf(name: string, quota: Quota): WorkspaceQuota {
+		let entry = this.#entries.get(name);
+		if (entry === undefined) {
+			entry = {
+				account: new QuotaAccount(), quota, waiters: [], isRequesting: false,
 			};
-			this.#desks.set(name, desk);
+			this.#entries.set(name, entry);
 		}
 
-		desk.quota = quota;
-		return desk;
+		entry.quota = quota;
+		return entry;
 	}
 
 	#quotaOf(workspace: string): Quota | undefined {
 		return this.#parts.routing.table?.routing.workspaces?.find(({name}) => name === workspace)?.quota;
 	}
 
-	/** Asks until nobody waits; one question a workspace is under way at a time. */
-	async #ask(name: string, desk: Desk): Promise<void> {
-		if (desk.isAsking) {
+	/** Requests grants until no request waits, with at most one request per workspace in flight. */
+	async #request(name: string, entry: WorkspaceQuota): Promise<void> {
+		if (entry.isRequesting) {
 			return;
 		}
 
-		desk.isAsking = true;
+		entry.isRequesting = true;
 		try {
 			do {
-				await this.#askOnce(name, desk);
-			} while (desk.waiters.length > 0);
+				await this.#requestOnce(name, entry);
+			} while (entry.waiters.length > 0);
 		} finally {
-			desk.isAsking = false;
+			entry.isRequesting = false;
 		}
 	}
 
-	async #askOnce(name: string, desk: Desk): Promise<void> {
+	async #requestOnce(name: string, entry: WorkspaceQuota): Promise<void> {
 		const {clock} = this.#parts.context;
-		const waiting = desk.waiters.reduce((sum, {cost}) => sum + cost, 0);
-		const {least, wanted, heard} = desk.account.wish(waiting, clock.now());
-		const first = desk.waiters[0]?.cost ?? 0;
-		const grant = await this.#question(name, desk.quota, {least: Math.max(first, least - waiting + first), wanted, heard});
-		desk.account.receive(grant, clock.now());
-		this.#serve(name, desk, grant);
+		const waiting = entry.waiters.reduce((sum, {cost}) => sum + cost, 0);
+		const {least, wanted, heard} = entry.account.wish(waiting, clock.now());
+		const first = entry.waiters[0]?.cost ?? 0;
+		const grant = await this.#requestGrant(name, entry.quota, {least: Math.max(first, least - waiting + first), wanted, heard});
+		entry.account.receive(grant, clock.now());
+		this.#serve(name, entry, grant);
 	}
 
-	/** Serves those that waited, in their order; who is left is refused where nothing was granted. */
-	#serve(name: string, desk: Desk, {granted, waitMs}: QuotaGrant): void {
+	/** Resolves waiting requests in order while the account covers them; refuses the rest if the keeper granted nothing. */
+	#serve(name: string, entry: WorkspaceQuota, {granted, waitMs}: QuotaGrant): void {
 		const {clock} = this.#parts.context;
-		while (desk.waiters[0] !== undefined && desk.account.take(desk.waiters[0].cost, 0, clock.now()) === 'granted') {
-			desk.waiters.shift()?.resolve({kind: 'granted'});
+		while (entry.waiters[0] !== undefined && entry.account.take(entry.waiters[0].cost, 0, clock.now()) === 'granted') {
+			entry.waiters.shift()?.resolve({kind: 'granted'});
 		}
 
 		if (granted > 0) {
 			return;
 		}
 
-		for (const {cost, resolve} of desk.waiters.splice(0)) {
-			resolve({kind: 'refused', waitMs: Math.max(leastWaitMs, waitMs), detail: describe(name, desk, cost)});
+		for (const {cost, resolve} of entry.waiters.splice(0)) {
+			resolve({kind: 'refused', waitMs: Math.max(minRetryAfterMs, waitMs), detail: describeRefusal(name, entry, cost)});
 		}
 	}
 
-	async #question(name: string, quota: Quota, wish: QuotaWish): Promise<QuotaGrant> {
+	async #requestGrant(name: string, quota: Quota, wish: QuotaWish): Promise<QuotaGrant> {
 		const {context, listHeard} = this.#parts;
 		const {self, log, metrics} = context;
-		const keepers = isOff(context, 'quotaKeepers') ? [] : rankKeepers(name, listHeard()).slice(0, mostKeepers);
+		const keepers = isOff(context, 'quotaKeepers') ? [] : rankKeepers(name, listHeard()).slice(0, maxKeepers);
 		for (const [index, keeper] of keepers.entries()) {
-			const grant = keeper === self.host ? this.#deal(name, quota, wish, index > 0) : await this.#askKeeper(keeper, name, wish, index > 0);
+			const grant = keeper === self.host ? this.#grant(name, quota, wish, index > 0) : await this.#requestFromKeeper(keeper, name, wish, index > 0);
 			if (grant !== undefined) {
 				metrics.add('quotaAsked', {outcome: grant.granted > 0 ? 'granted' : 'refused'});
 				return grant;
@@ -202,25 +203,25 @@
 			log('quotaKeeperSilent', {workspace: name, keeper, hosts: listHeard().length});
 		}
 
-		return this.#dealAlone(name, quota, wish);
+		return this.#grantOwnShare(name, quota, wish);
 	}
 
-	async #askKeeper(keeper: string, workspace: string, wish: QuotaWish, isStandIn: boolean): Promise<QuotaGrant | undefined> {
-		return this.#questions.ask(answerMs, ask => {
+	async #requestFromKeeper(keeper: string, workspace: string, wish: QuotaWish, isStandIn: boolean): Promise<QuotaGrant | undefined> {
+		return this.#requests.ask(responseTimeoutMs, ask => {
 			this.#parts.send(keeper, {
 				kind: 'quotaWanted', ask, workspace, isStandIn, ...wish,
 			});
 		});
 	}
 
-	#deal(workspace: string, quota: Quota, wish: QuotaWish, isStandIn: boolean): QuotaGrant {
+	#grant(workspace: string, quota: Quota, wish: QuotaWish, isStandIn: boolean): QuotaGrant {
 		const {listHeard, countKnown} = this.#parts;
 		const share = shareOf(listHeard().length, countKnown());
 		return this.#windowOf(workspace, quota, isStandIn ? standInShare * share : share).take(wish, this.#parts.context.clock.now());
 	}
 
-	/** Deals out this host's own part, where no keeper answers. */
-	#dealAlone(workspace: string, quota: Quota, wish: QuotaWish): QuotaGrant {
+	/** Grants this host its own share of the quota when no keeper replies. */
+	#grantOwnShare(workspace: string, quota: Quota, wish: QuotaWish): QuotaGrant {
 		return this.#windowOf(workspace, quota, 1 / Math.max(1, this.#parts.countKnown())).take(wish, this.#parts.context.clock.now());
 	}
 
@@ -228,7 +229,7 @@
 		const {context: {clock, self, settings: {access}}} = this.#parts;
 		let window = this.#windows.get(workspace);
 		if (window === undefined) {
-			window = new QuotaWindow(`${self.host} ${self.incarnation}`, quota, access, share, this.#dealsSince);
+			window = new QuotaWindow(`${self.host} ${self.incarnation}`, quota, access, share, this.#fleetChangedAt);
 			this.#windows.set(workspace, window);
 		} else {
 			window.adjust(quota, share, clock.now());
@@ -238,8 +239,8 @@
 	}
 }
 
-/** What decided a refusal, for the log and the caller. */
-function describe(name: string, {account, quota: {unit, ratePerS, burst}}: Desk, cost: number): string {
+/** Detail of a refusal, for the log and the caller. */
+function describeRefusal(name: string, {account, quota: {unit, ratePerS, burst}}: WorkspaceQuota, cost: number): string {
 	const level = account.levelHeard === undefined ? 'an unknown rest' : Math.floor(account.levelHeard);
 	return `${name} asked for ${cost} ${unit}, ${level} left of ${Math.round(ratePerS)} a second and ${Math.round(burst)} at once`;
 }
