--- a/packages/relay/src/access/gate.ts
+++ b/packages/relay/src/access/access-control.ts
@@ -8,14 +8,14 @@
 import {type RequestFacts} from '../core/dialect.js';
 import {type RoutingState} from '../core/routing-state.js';
 import {type Freshness} from './freshness.js';
-import {type QuotaDesk} from './quota-desk.js';
+import {type WorkspaceQuotas} from './workspace-quotas.js';
 
 /** Maximum wait for a confirmation of the key list, in milliseconds; a host nearby replies within ten, and a caller that is refused early can retry elsewhere early. */
 const confirmationWaitMs = 80;
-export type GateParts = {
+export type AccessControlParts = {
 	readonly routing: RoutingState;
 	readonly freshness: Freshness;
-	readonly quotas: QuotaDesk;
+	readonly quotas: WorkspaceQuotas;
 };
 
 /** A request's key and arrival time. */
@@ -25,15 +25,15 @@
 };
 
 /** Authentication and quotas of requests. */
-export class Gate {
-	readonly #parts: GateParts;
+export class AccessControl {
+	readonly #parts: AccessControlParts;
 
-	constructor(parts: GateParts) {
+	constructor(parts: AccessControlParts) {
 		this.#parts = parts;
 	}
 
 	/** Makes sure that the key list is recent enough for a request, if that is possible soon. Call it before looking up the route, since it may bring a newer configuration. */
-	async prepare({keyDigest, arrivedAt}: Credential): Promise<void> {
+	async refreshKeys({keyDigest, arrivedAt}: Credential): Promise<void> {
 		const {routing: {table}, freshness} = this.#parts;
 		if (keyDigest !== undefined && table?.workspaceOf(keyDigest) !== undefined) {
 			await freshness.refreshForKeys(arrivedAt, confirmationWaitMs);
@@ -41,7 +41,7 @@
 	}
 
 	/** Returns the workspace of a request, undefined if the route needs none, or a `callerUnknown` or `keysOutdated` failure. */
-	identify(table: RouteTable, {isPublic}: Route, {keyDigest, arrivedAt}: Credential): Workspace | Failure | undefined {
+	authenticate(table: RouteTable, {isPublic}: Route, {keyDigest, arrivedAt}: Credential): Workspace | Failure | undefined {
 		if (!table.hasWorkspaces) {
 			return undefined;
 		}
@@ -66,7 +66,7 @@
 		}
 
 		const cost = costOf(workspace.quota, facts);
-		const answer = await this.#parts.quotas.take(workspace, cost);
+		const answer = await this.#parts.quotas.charge(workspace, cost);
 		if (answer.kind === 'refused') {
 			fail('quotaSpent', {retryAfterMs: answer.waitMs, detail: answer.detail});
 		}
@@ -75,9 +75,9 @@
 	}
 
 	/** Refunds the cost of a request that no endpoint ran. */
-	giveBack(workspace: Workspace | undefined, cost: number): void {
+	refund(workspace: Workspace | undefined, cost: number): void {
 		if (workspace !== undefined && cost > 0) {
-			this.#parts.quotas.giveBack(workspace, cost);
+			this.#parts.quotas.refund(workspace, cost);
 		}
 	}
 }
--- a/packages/relay/src/access/freshness.test.ts
+++ b/packages/relay/src/access/freshness.test.ts
@@ -96,7 +96,7 @@
 		this.sent.push(message);
 		const answer = this.peers.get(host);
 		if (message.kind === 'freshnessWanted' && answer !== undefined && answer !== 'silent') {
-			this.freshness.hear(host, {kind: 'freshness', ask: message.ask, ...answer});
+			this.freshness.handleReply(host, {kind: 'freshness', ask: message.ask, ...answer});
 		}
 	}
 }
@@ -168,7 +168,7 @@
 		const askedAt = fixture.clock.now();
 		void fixture.freshness.refreshForKeys(askedAt, 80);
 		await fixture.run(140);
-		fixture.freshness.hear('reader', {kind: 'freshness', ask: 1, ageMs: 200});
+		fixture.freshness.handleReply('reader', {kind: 'freshness', ask: 1, ageMs: 200});
 		await settle();
 		expect(fixture.routing.confirmedAt).toEqual(askedAt - 200);
 	});
@@ -188,12 +188,12 @@
 		expect(await fixture.arrive()).toEqual(true);
 		fixture.isUp = false;
 		await fixture.run(4600);
-		expect([await fixture.arrive(), fixture.freshness.isLost]).toEqual([true, false]);
+		expect([await fixture.arrive(), fixture.freshness.isUnconfirmed]).toEqual([true, false]);
 		await fixture.run(400);
-		expect([await fixture.arrive(), fixture.freshness.isLost]).toEqual([false, true]);
+		expect([await fixture.arrive(), fixture.freshness.isUnconfirmed]).toEqual([false, true]);
 		fixture.isUp = true;
 		await fixture.run(400);
-		expect([await fixture.arrive(), fixture.freshness.isLost]).toEqual([true, false]);
+		expect([await fixture.arrive(), fixture.freshness.isUnconfirmed]).toEqual([true, false]);
 	});
 
 	it('a reply brings a newer configuration', async () => {
@@ -208,7 +208,7 @@
 		await fixture.run(6000);
 		const arrivedAt = fixture.clock.now();
 		expect([fixture.freshness.mayRefuse(arrivedAt), fixture.freshness.isConfirmed(arrivedAt)]).toEqual([false, true]);
-		await Promise.all(Array.from({length: 50}, async () => fixture.freshness.proveRefusal(arrivedAt, 400)));
+		await Promise.all(Array.from({length: 50}, async () => fixture.freshness.refreshForRefusal(arrivedAt, 400)));
 		expect([fixture.freshness.mayRefuse(arrivedAt), fixture.sent.length]).toEqual([true, 1]);
 		await fixture.run(1000);
 		expect(fixture.freshness.mayRefuse(fixture.clock.now())).toEqual(true);
@@ -220,14 +220,14 @@
 		const fixture = new Fixture(new Map([['silent', 'silent']]), withoutKeys);
 		await fixture.run(6000);
 		const arrivedAt = fixture.clock.now();
-		const refreshing = fixture.freshness.proveRefusal(arrivedAt, 400);
+		const refreshing = fixture.freshness.refreshForRefusal(arrivedAt, 400);
 		await fixture.run(500);
 		await refreshing;
 		expect(fixture.freshness.mayRefuse(arrivedAt)).toEqual(false);
 		fixture.isUp = true;
 		fixture.routing.fallBehind();
 		await fixture.run(400);
-		const later = fixture.freshness.proveRefusal(fixture.clock.now(), 400);
+		const later = fixture.freshness.refreshForRefusal(fixture.clock.now(), 400);
 		await fixture.run(500);
 		await later;
 		expect(fixture.freshness.mayRefuse(arrivedAt)).toEqual(false);
@@ -253,12 +253,12 @@
 
 	it('a queried host asks the directory if its confirmation is old, and reports no age without one', async () => {
 		const fixture = new Fixture();
-		fixture.freshness.hearWanted('peer', {
+		fixture.freshness.handleRequest('peer', {
 			kind: 'freshnessWanted', ask: 9, routingVersion: 1, mostAgeMs: 1800,
 		});
 		await settle();
 		fixture.isUp = true;
-		fixture.freshness.hearWanted('peer', {
+		fixture.freshness.handleRequest('peer', {
 			kind: 'freshnessWanted', ask: 10, routingVersion: 0, mostAgeMs: 1800,
 		});
 		await settle();
--- a/packages/relay/src/access/freshness.ts
+++ b/packages/relay/src/access/freshness.ts
@@ -13,7 +13,7 @@
 import {isOff} from '../core/experiment.js';
 import {type DirectoryWatch} from '../core/directory-watch.js';
 import {type AccessParts} from './access-parts.js';
-import {Questions} from './questions.js';
+import {PeerRequests} from './peer-requests.js';
 
 /** Timeout of a query to another host, in milliseconds; allows for busy hosts, and is short enough for several queries within the revocation bound. */
 const responseTimeoutMs = 200;
@@ -37,23 +37,23 @@
 export class Freshness {
 	readonly #parts: FreshnessParts;
 	readonly #ages: EvidenceAges;
-	readonly #requests: Questions<FreshnessReply>;
+	readonly #requests: PeerRequests<FreshnessReply>;
 	#refreshing: Promise<void> | undefined;
 	#failedAt = Number.NEGATIVE_INFINITY;
 	/** Whether a peer replied in the last round that confirmed nothing, so that other hosts lack a confirmation too. */
 	#hasStalePeers = false;
-	#isLost = false;
+	#isUnconfirmed = false;
 
 	constructor(parts: FreshnessParts) {
 		const {context: {clock, settings: {access}}} = parts;
 		this.#parts = parts;
 		this.#ages = agesFor(access);
-		this.#requests = new Questions(clock);
+		this.#requests = new PeerRequests(clock);
 	}
 
 	/** Whether the confirmation is too old to accept requests with keys, as last checked. */
-	get isLost(): boolean {
-		return this.#isLost;
+	get isUnconfirmed(): boolean {
+		return this.#isUnconfirmed;
 	}
 
 	/** Whether other hosts, as far as known, lack a confirmation too. */
@@ -95,14 +95,14 @@
 	}
 
 	/** Refreshes the confirmation for a final refusal, waiting up to `waitMs`; may bring a newer configuration. */
-	async proveRefusal(arrivedAt: number, waitMs: number): Promise<void> {
+	async refreshForRefusal(arrivedAt: number, waitMs: number): Promise<void> {
 		if (!this.mayRefuse(arrivedAt)) {
 			await this.#wait(this.#refresh(), waitMs);
 		}
 	}
 
 	/** Replies to a host that asks for a confirmation. */
-	hearWanted(from: string, {ask, routingVersion, mostAgeMs}: RelayMessageOf<'freshnessWanted'>): void {
+	handleRequest(from: string, {ask, routingVersion, mostAgeMs}: RelayMessageOf<'freshnessWanted'>): void {
 		const {watch} = this.#parts;
 		const ageMs = this.#ageMs;
 		if (ageMs <= Math.min(mostAgeMs, this.#ages.refreshMs)) {
@@ -122,8 +122,8 @@
 	}
 
 	/** Handles the reply to a query. */
-	hear(from: string, message: RelayMessageOf<'freshness'>): void {
-		this.#requests.answer(message.ask, {...message, from});
+	handleReply(from: string, message: RelayMessageOf<'freshness'>): void {
+		this.#requests.settle(message.ask, {...message, from});
 	}
 
 	get #ageMs(): number {
@@ -209,7 +209,7 @@
 	async #queryPeer(host: string): Promise<boolean> {
 		const {context: {clock, metrics}, routing, send} = this.#parts;
 		const askedAt = clock.now();
-		const answer = await this.#requests.ask(responseTimeoutMs, ask => {
+		const answer = await this.#requests.send(responseTimeoutMs, ask => {
 			send(host, {
 				kind: 'freshnessWanted', ask, routingVersion: routing.version, mostAgeMs: this.#ages.givenMs,
 			});
@@ -244,11 +244,11 @@
 	}
 
 	#recordState(isConfirmed: boolean): void {
-		if (isConfirmed !== this.#isLost) {
+		if (isConfirmed !== this.#isUnconfirmed) {
 			return;
 		}
 
-		this.#isLost = !isConfirmed;
+		this.#isUnconfirmed = !isConfirmed;
 		const {context: {log}, routing} = this.#parts;
 		log(isConfirmed ? 'keysConfirmed' : 'keysOutdatedSince', {version: routing.version, ageMs: Math.round(this.#ageMs), peersKnow: this.#hasStalePeers});
 	}
--- a/packages/relay/src/access/questions.ts
+++ b/packages/relay/src/access/peer-requests.ts
@@ -2,9 +2,9 @@
 import {type Clock} from '@gatehead/policy/utils/clock';
 
 /** Pending requests of one kind. */
-export class Questions<Answer> {
+export class PeerRequests<Answer> {
 	readonly #clock: Clock;
-	readonly #pending = new Map<number, (answer: Answer) => void>();
+	readonly #open = new Map<number, (answer: Answer) => void>();
 	#lastId = 0;
 
 	constructor(clock: Clock) {
@@ -12,25 +12,25 @@
 	}
 
 	/** Sends a request under a new id; resolves with the reply, or with undefined after `timeoutMs`. */
-	async ask(timeoutMs: number, send: (id: number) => void): Promise<Answer | undefined> {
+	async send(timeoutMs: number, transmit: (id: number) => void): Promise<Answer | undefined> {
 		this.#lastId += 1;
 		const id = this.#lastId;
 		return new Promise(resolve => {
 			const timer = this.#clock.after(timeoutMs, () => {
-				this.#pending.delete(id);
+				this.#open.delete(id);
 				resolve(undefined);
 			});
-			this.#pending.set(id, answer => {
+			this.#open.set(id, answer => {
 				timer.stop();
-				this.#pending.delete(id);
+				this.#open.delete(id);
 				resolve(answer);
 			});
-			send(id);
+			transmit(id);
 		});
 	}
 
 	/** Settles a pending request; a reply after the timeout is ignored. */
-	answer(id: number, answer: Answer): void {
-		this.#pending.get(id)?.(answer);
+	settle(id: number, answer: Answer): void {
+		this.#open.get(id)?.(answer);
 	}
 }
--- a/packages/relay/src/access/decisions.ts
+++ b/packages/relay/src/access/request-resolver.ts
@@ -12,7 +12,7 @@
 import {type RelayContext} from '../core/context.js';
 import {type RoutingState} from '../core/routing-state.js';
 import {type Freshness} from './freshness.js';
-import {type Credential, type Gate} from './gate.js';
+import {type Credential, type AccessControl} from './access-control.js';
 
 /** Maximum wait for a confirmation of the configuration before a request is refused, in milliseconds: the timeout of one unresponsive host, then of all others in parallel. */
 const maxWaitMs = 400;
@@ -20,7 +20,7 @@
 const maxWaitShare = 1 / 4;
 
 /** The parts of a request that decide how it resolves. */
-export type Ask = Credential & {
+export type IncomingRequest = Credential & {
 	readonly authority: string;
 	readonly target: string;
 	/** The caller's timeout in milliseconds; undefined if it sent none. */
@@ -38,14 +38,14 @@
 export type RequestResolverParts = {
 	readonly context: Pick<RelayContext, 'metrics' | 'random'>;
 	readonly routing: RoutingState;
-	readonly gate: Gate;
+	readonly accessControl: AccessControl;
 	readonly freshness: Freshness;
 	/** `Retry-After` in milliseconds while this host has no configuration. */
-	readonly notReadyMs: (ask: Ask) => number;
+	readonly notReadyMs: (request: IncomingRequest) => number;
 };
 
 /** Resolves requests against the current configuration. */
-export class Decisions {
+export class RequestResolver {
 	readonly #parts: RequestResolverParts;
 
 	constructor(parts: RequestResolverParts) {
@@ -53,10 +53,10 @@
 	}
 
 	/** Throws the failure that the request is to be refused with. */
-	async decide(ask: Ask): Promise<ResolvedRequest> {
-		const {gate, freshness} = this.#parts;
-		await gate.prepare(ask);
-		const first = this.#resolveOnce(ask);
+	async resolve(request: IncomingRequest): Promise<ResolvedRequest> {
+		const {accessControl, freshness} = this.#parts;
+		await accessControl.refreshKeys(request);
+		const first = this.#resolveOnce(request);
 		if (!(first instanceof Failure)) {
 			return first;
 		}
@@ -66,14 +66,14 @@
 		}
 
 		// A caller does not retry after a final refusal, so a stale configuration must not cause one
-		await freshness.proveRefusal(ask.arrivedAt, Math.min(maxWaitMs, maxWaitShare * (ask.patienceMs ?? Number.POSITIVE_INFINITY)));
+		await freshness.refreshForRefusal(request.arrivedAt, Math.min(maxWaitMs, maxWaitShare * (request.patienceMs ?? Number.POSITIVE_INFINITY)));
 		// The confirmation may have brought a newer configuration
-		const second = this.#resolveOnce(ask);
+		const second = this.#resolveOnce(request);
 		if (!(second instanceof Failure)) {
 			return second;
 		}
 
-		return this.#refuse(second, ask.arrivedAt);
+		return this.#refuse(second, request.arrivedAt);
 	}
 
 	#refuse(failure: Failure, arrivedAt: number): never {
@@ -86,13 +86,13 @@
 		return fail('refusalUnproven', {retryAfterMs: freshness.retryAfterMs, detail: failure.message});
 	}
 
-	#resolveOnce(ask: Ask): ResolvedRequest | Failure {
-		const {routing: {table, version}, gate, context: {random}, notReadyMs} = this.#parts;
+	#resolveOnce(request: IncomingRequest): ResolvedRequest | Failure {
+		const {routing: {table, version}, accessControl, context: {random}, notReadyMs} = this.#parts;
 		if (table === undefined) {
-			return new Failure('notReady', {retryAfterMs: notReadyMs(ask)});
+			return new Failure('notReady', {retryAfterMs: notReadyMs(request)});
 		}
 
-		const route = table.match(ask.authority, ask.target);
+		const route = table.match(request.authority, request.target);
 		if (route === undefined) {
 			return new Failure('routeUnknown', {detail: `configuration ${version}`});
 		}
@@ -102,7 +102,7 @@
 			return new Failure('serviceUnknown', {detail: `configuration ${version}`});
 		}
 
-		const workspace = gate.identify(table, route, ask);
+		const workspace = accessControl.authenticate(table, route, request);
 		return workspace instanceof Failure
 			? workspace
 			: {
--- a/packages/relay/src/access/quota-desk.ts
+++ b/packages/relay/src/access/workspace-quotas.ts
@@ -13,7 +13,7 @@
 import {type Quota, type Workspace} from '@gatehead/schema/routing';
 import {isOff} from '../core/experiment.js';
 import {type AccessParts} from './access-parts.js';
-import {Questions} from './questions.js';
+import {PeerRequests} from './peer-requests.js';
 
 /** Timeout of a request to a keeper, in milliseconds; an eighth of a typical target. */
 const responseTimeoutMs = 120;
@@ -24,7 +24,7 @@
 /** Minimum `Retry-After` of a refusal, in milliseconds; keepers return none that is shorter. */
 const minRetryAfterMs = 250;
 
-export type QuotaDeskParts = AccessParts & {
+export type WorkspaceQuotasParts = AccessParts & {
 	/** Live hosts as seen by this one, including itself. */
 	readonly listHeard: () => readonly string[];
 	/** Number of known hosts, including those that have failed. */
@@ -49,22 +49,22 @@
 };
 
 /** The workspace quotas of one host. */
-export class QuotaDesk {
-	readonly #parts: QuotaDeskParts;
-	readonly #requests: Questions<QuotaGrant>;
+export class WorkspaceQuotas {
+	readonly #parts: WorkspaceQuotasParts;
+	readonly #requests: PeerRequests<QuotaGrant>;
 	readonly #entries = new Map<string, WorkspaceQuota>();
 	readonly #windows = new Map<string, QuotaWindow>();
 	/** Time of the last membership change; since then the same hosts have kept the same quotas. */
 	#fleetChangedAt: number;
 
-	constructor(parts: QuotaDeskParts) {
+	constructor(parts: WorkspaceQuotasParts) {
 		this.#fleetChangedAt = parts.context.clock.now();
 		this.#parts = parts;
-		this.#requests = new Questions(parts.context.clock);
+		this.#requests = new PeerRequests(parts.context.clock);
 	}
 
 	/** Charges a request to its workspace's quota, asking a keeper if the local account does not cover it. */
-	async take({name, quota}: Workspace, cost: number): Promise<QuotaDecision> {
+	async charge({name, quota}: Workspace, cost: number): Promise<QuotaDecision> {
 		if (quota === undefined) {
 			return {kind: 'granted'};
 		}
@@ -91,7 +91,7 @@
 	}
 
 	/** Handles a membership change: drops the windows of workspaces that have another keeper now. Windows created later allow for grants that a previous keeper made until now. */
-	noteFleetChange(): void {
+	handleMembershipChange(): void {
 		const {context: {clock, self}, listHeard} = this.#parts;
 		const heard = listHeard();
 		this.#fleetChangedAt = clock.now();
@@ -103,14 +103,14 @@
 	}
 
 	/** Refunds the cost of a request that no endpoint ran. */
-	giveBack({name, quota}: Workspace, cost: number): void {
+	refund({name, quota}: Workspace, cost: number): void {
 		if (quota !== undefined) {
 			this.#entryOf(name, quota).account.giveBack(cost, this.#parts.context.clock.now());
 		}
 	}
 
 	/** Handles a request to this host as a keeper. */
-	hearWanted(from: string, {ask, workspace, isStandIn, ...wish}: RelayMessageOf<'quotaWanted'>): void {
+	handleRequest(from: string, {ask, workspace, isStandIn, ...wish}: RelayMessageOf<'quotaWanted'>): void {
 		const quota = this.#quotaOf(workspace);
 		if (quota !== undefined) {
 			this.#parts.send(from, {kind: 'quotaGranted', ask, ...this.#grant(workspace, quota, wish, isStandIn)});
@@ -118,8 +118,8 @@
 	}
 
 	/** Handles a keeper's reply. */
-	hearGranted({ask, ...grant}: RelayMessageOf<'quotaGranted'>): void {
-		this.#requests.answer(ask, grant);
+	handleGrant({ask, ...grant}: RelayMessageOf<'quotaGranted'>): void {
+		this.#requests.settle(ask, grant);
 	}
 
 	/** Share of a workspace's allowance that one host may spend on credit. */
@@ -207,7 +207,7 @@
 	}
 
 	async #requestFromKeeper(keeper: string, workspace: string, wish: QuotaWish, isStandIn: boolean): Promise<QuotaGrant | undefined> {
-		return this.#requests.ask(responseTimeoutMs, ask => {
+		return this.#requests.send(responseTimeoutMs, ask => {
 			this.#parts.send(keeper, {
 				kind: 'quotaWanted', ask, workspace, isStandIn, ...wish,
 			});
--- a/packages/relay/src/front/caller-front.ts
+++ b/packages/relay/src/front/caller-front.ts
@@ -14,14 +14,14 @@
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {fail, Failure, toFailure} from '@gatehead/schema/failure';
 import {type CallerLimits} from '@gatehead/schema/routing';
-import {Decisions, type Ask} from '../access/decisions.js';
+import {RequestResolver, type IncomingRequest} from '../access/request-resolver.js';
 import {type Freshness} from '../access/freshness.js';
-import {type Gate} from '../access/gate.js';
+import {type AccessControl} from '../access/access-control.js';
 import {type RelayContext} from '../core/context.js';
 import {type RequestFacts} from '../core/dialect.js';
 import {type RoutingState} from '../core/routing-state.js';
 import {type CrashGuard} from '../upstream/crash-guard.js';
-import {type Budgets} from '../work/budgets.js';
+import {type RetryBudgets} from '../work/retry-budgets.js';
 import {type Job} from '../work/job.js';
 import {RequestContent} from '../work/request-content.js';
 import {readBytes} from '../utils/read-bytes.js';
@@ -46,8 +46,8 @@
 export type CallerFrontParts = {
 	readonly context: RelayContext;
 	readonly routing: RoutingState;
-	readonly budgets: Budgets;
-	readonly gate: Gate;
+	readonly budgets: RetryBudgets;
+	readonly accessControl: AccessControl;
 	readonly freshness: Freshness;
 	readonly guard: CrashGuard;
 	readonly work: (job: Job) => Promise<JobEnd>;
@@ -69,7 +69,7 @@
 	readonly #server: Server;
 	readonly #connections: CallerConnections;
 	readonly #secondTries = new SecondTries();
-	readonly #decisions: Decisions;
+	readonly #resolver: RequestResolver;
 	#open = 0;
 	#made = 0;
 	#isLast = false;
@@ -77,7 +77,7 @@
 
 	constructor(parts: CallerFrontParts) {
 		this.#parts = parts;
-		this.#decisions = new Decisions({...parts, notReadyMs: ask => this.#notReadyMs(ask)});
+		this.#resolver = new RequestResolver({...parts, notReadyMs: ask => this.#notReadyMs(ask)});
 		const {settings: {limits}} = parts.context;
 		this.#server = createServer({
 			maxHeaderSize: limits.headerBytes, requestTimeout: requestMs, headersTimeout: requestMs, noDelay: true,
@@ -144,7 +144,7 @@
 			const job = await this.#takeIn(intake);
 			const end = await this.#parts.work(job);
 			if (!job.mayHaveRun) {
-				this.#parts.gate.giveBack(job.workspace, job.cost);
+				this.#parts.accessControl.refund(job.workspace, job.cost);
 			}
 
 			this.#note(job, end);
@@ -168,13 +168,13 @@
 	/** Reads the request and finds its route. */
 	async #takeIn(intake: Intake): Promise<Job> {
 		const {request, reply, controller, arrivedAt} = intake;
-		const {context: {clock, dialect, settings: {limits}}, budgets, gate, guard} = this.#parts;
+		const {context: {clock, dialect, settings: {limits}}, budgets, accessControl, guard} = this.#parts;
 		this.#checkRoom();
 		const body = await readRequest(request, limits.bodyBytes);
 		const facts = dialect.readRequest(request.headers);
 		const target = request.url ?? '/';
 		const authority = request.headers.host ?? '';
-		const {table, route, service, workspace} = await this.#decisions.decide({
+		const {table, route, service, workspace} = await this.#resolver.resolve({
 			authority, target, keyDigest: dialect.readKeyDigest(request.rawHeaders), arrivedAt, patienceMs: facts.patienceMs,
 		});
 		const content = new RequestContent({
@@ -186,8 +186,8 @@
 		}
 
 		const patienceMs = Math.min(facts.patienceMs ?? route.timeoutMs, route.timeoutMs);
-		const cost = await gate.charge(workspace, facts);
-		budgets.arrive(service.name);
+		const cost = await accessControl.charge(workspace, facts);
+		budgets.recordRequest(service.name);
 		intake.patience = clock.after(arrivedAt + patienceMs - clock.now(), () => {
 			controller.abort('timeUp');
 		});
@@ -205,19 +205,19 @@
 			content,
 			arrivedAt,
 			deadlineAt: arrivedAt + patienceMs,
-			isSecondTry: this.#isSecondTry(route.name, facts),
+			isCallerRetry: this.#isSecondTry(route.name, facts),
 			signal: controller.signal,
 			reply,
 			mayHaveRun: false,
 			runs: 0,
 			sends: 0,
-			isHeld: false,
-			isOnTrial: false,
+			isContentHeld: false,
+			isProbe: false,
 		};
 	}
 
 	/** When a caller may come back to a host without a configuration: its route, and so the route's own time, is not known. */
-	#notReadyMs({patienceMs}: Ask): number {
+	#notReadyMs({patienceMs}: IncomingRequest): number {
 		return retryAfter(notReadyMs, patienceMs ?? notReadyMs, this.#parts.context.random);
 	}
 
@@ -256,7 +256,7 @@
 
 	#note(job: Job, {outcome, code, endpoint, detail, longestGapMs}: JobEnd): void {
 		const {context: {clock, log, metrics}, routing} = this.#parts;
-		const {id, route, service, workspace, reply, arrivedAt, sends, runs, isSecondTry} = job;
+		const {id, route, service, workspace, reply, arrivedAt, sends, runs, isCallerRetry} = job;
 		const now = clock.now();
 		metrics.add('requests', {kind: route.kind, outcome: code ?? outcome});
 		if (reply.firstByteAt !== undefined && outcome === 'answered') {
@@ -275,7 +275,7 @@
 			detail,
 			sends,
 			runs,
-			secondTry: isSecondTry,
+			secondTry: isCallerRetry,
 			patienceMs: job.facts.patienceMs,
 			targetMs: route.targetMs,
 			gapTargetMs: route.gapTargetMs,
--- a/packages/relay/src/peer/fleet.ts
+++ b/packages/relay/src/peer/fleet.ts
@@ -17,7 +17,7 @@
 	relayBatch, type CrashReport, type RelayMessage, type RelayMessageOf,
 } from '@gatehead/schema/relay-message';
 import {Freshness} from '../access/freshness.js';
-import {QuotaDesk} from '../access/quota-desk.js';
+import {WorkspaceQuotas} from '../access/workspace-quotas.js';
 import {type RelayContext} from '../core/context.js';
 import {RateLimiter} from '../upstream/rate-limiter.js';
 import {DirectoryNews} from './directory-news.js';
@@ -46,7 +46,7 @@
 	/** Whether this host watches the directory in place of watchers that cannot. */
 	readonly watcherFailover: WatcherFailover;
 	/** Quotas that all hosts share. */
-	readonly quotas: QuotaDesk;
+	readonly quotas: WorkspaceQuotas;
 	/** Rate limits of endpoints, kept over all hosts. */
 	readonly limiter: RateLimiter;
 	/** When a host came, went, or was suspected last. */
@@ -100,16 +100,16 @@
 			this.load.hearWaiting(from.host, message);
 		},
 		freshnessWanted: (from, message) => {
-			this.freshness.hearWanted(from.host, message);
+			this.freshness.handleRequest(from.host, message);
 		},
 		freshness: (from, message) => {
-			this.freshness.hear(from.host, message);
+			this.freshness.handleReply(from.host, message);
 		},
 		quotaWanted: (from, message) => {
-			this.quotas.hearWanted(from.host, message);
+			this.quotas.handleRequest(from.host, message);
 		},
 		quotaGranted: (_from, message) => {
-			this.quotas.hearGranted(message);
+			this.quotas.handleGrant(message);
 		},
 		rateRound: (from, message) => {
 			this.limiter.receiveRound(from, message);
@@ -177,7 +177,7 @@
 			},
 			watch: parts.watch,
 		});
-		this.quotas = new QuotaDesk({
+		this.quotas = new WorkspaceQuotas({
 			...access,
 			listHeard: () => this.membership.members.listReachable().map(({host}) => host),
 			countKnown: () => this.#hosts.count(),
@@ -312,7 +312,7 @@
 			this.hasFollowed ||= !this.isFirst();
 			this.load.setMembers(this.membership.members.list());
 			this.#hosts.note(this.membership.members.list());
-			this.quotas.noteFleetChange();
+			this.quotas.handleMembershipChange();
 			this.limiter.noteFleetChange();
 		}
 	}
--- a/packages/relay/src/peer/news-path.test.ts
+++ b/packages/relay/src/peer/news-path.test.ts
@@ -541,7 +541,7 @@
 		let unproven = 0;
 		const ask = async ({fleet: {freshness}}: Host) => {
 			const arrivedAt = clock.now();
-			await freshness.proveRefusal(arrivedAt, 400);
+			await freshness.refreshForRefusal(arrivedAt, 400);
 			unproven += freshness.mayRefuse(arrivedAt) ? 0 : 1;
 			waits.push(clock.now() - arrivedAt);
 		};
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -6,7 +6,7 @@
 import {type MemberRecord} from '@gatehead/schema/peer-message';
 import {type RelaySettings} from '@gatehead/schema/relay-settings';
 import {type RelayStatus} from '@gatehead/schema/relay-status';
-import {Gate} from './access/gate.js';
+import {AccessControl} from './access/access-control.js';
 import {makeRelayContext, type RelayContext, type RelayParts} from './core/context.js';
 import {DirectoryWatch} from './core/directory-watch.js';
 import {RoutingState} from './core/routing-state.js';
@@ -18,12 +18,12 @@
 import {Endpoints} from './upstream/endpoints.js';
 import {OwnCalls} from './upstream/own-calls.js';
 import {Sender} from './upstream/sender.js';
-import {Budgets} from './work/budgets.js';
-import {workGeneration} from './work/generation.js';
+import {RetryBudgets} from './work/retry-budgets.js';
+import {runGeneration} from './work/generation.js';
 import {type Job} from './work/job.js';
 import {type JobEnd} from './work/job-end.js';
 import {type WorkParts} from './work/parts.js';
-import {workPlain} from './work/plain.js';
+import {runPlain} from './work/plain.js';
 import {Admission} from './work/admission.js';
 import {StageOrders} from './work/stage-orders.js';
 
@@ -66,7 +66,7 @@
 				this.fleet.announceDrain(endpoint);
 			},
 			onRoom: service => {
-				this.#work.admission.roomAt(service);
+				this.#work.admission.handleCapacityFreed(service);
 			},
 			subset: () => this.fleet.load.subset,
 		});
@@ -99,9 +99,9 @@
 			},
 		});
 		const ownCalls = new OwnCalls(context, this.endpoints);
-		const budgets = new Budgets(context, () => this.fleet.countHosts());
+		const budgets = new RetryBudgets(context, () => this.fleet.countHosts());
 		this.#orders = new StageOrders({
-			context, endpoints: this.endpoints, routing: this.routing, fleet: this.fleet, watch: this.#watch, ownCalls, rateOf: service => this.#work.admission.rateOf(service), waitedAt: service => this.#work.admission.waitedAt(service),
+			context, endpoints: this.endpoints, routing: this.routing, fleet: this.fleet, watch: this.#watch, ownCalls, releaseRateOf: service => this.#work.admission.releaseRateOf(service), lastWaitedAt: service => this.#work.admission.lastWaitedAt(service),
 		});
 		const news = this.fleet.load;
 		this.#work = {
@@ -120,7 +120,7 @@
 			news,
 		};
 		this.#front = new CallerFront({
-			context, routing: this.routing, budgets, guard: this.guard, freshness: this.fleet.freshness, gate: new Gate({routing: this.routing, freshness: this.fleet.freshness, quotas: this.fleet.quotas}), work: async job => this.#workOn(job),
+			context, routing: this.routing, budgets, guard: this.guard, freshness: this.fleet.freshness, accessControl: new AccessControl({routing: this.routing, freshness: this.fleet.freshness, quotas: this.fleet.quotas}), work: async job => this.#workOn(job),
 		});
 		this.#side = new SideFront({
 			context,
@@ -151,7 +151,7 @@
 			isDirectoryDown: this.#watch.isDown,
 			open: this.#front.open,
 			waiting: this.#work.admission.waiting,
-			retryLeft: Math.floor(this.#work.budgets.leastLeft()),
+			retryLeft: Math.floor(this.#work.budgets.lowestLeft()),
 			subset: this.fleet.load.subset,
 			members: this.fleet.membership.members.list().map(({host, state}) => ({host, state})),
 			services: this.#describeServices(),
@@ -217,11 +217,11 @@
 		const members = this.fleet.membership.members.list();
 		const others = members.filter(({host}) => host !== this.context.self.host);
 		const hasOthers = others.some(({state}) => state === 'alive');
-		return this.fleet.freshness.isLost && hasOthers ? others : members;
+		return this.fleet.freshness.isUnconfirmed && hasOthers ? others : members;
 	}
 
 	async #workOn(job: Job): Promise<JobEnd> {
-		return job.service.engine === undefined ? workPlain(this.#work, job) : workGeneration(this.#work, job);
+		return job.service.engine === undefined ? runPlain(this.#work, job) : runGeneration(this.#work, job);
 	}
 
 	async #pause(milliseconds: number): Promise<void> {
@@ -243,7 +243,7 @@
 		const {metrics} = this.context;
 		metrics.set('waiting', this.#work.admission.waiting);
 		metrics.set('hosts', this.fleet.countHosts());
-		metrics.set('retryLeft', this.#work.budgets.leastLeft());
+		metrics.set('retryLeft', this.#work.budgets.lowestLeft());
 		const {signals} = this.endpoints;
 		const now = this.context.clock.now();
 		metrics.set('limitedEndpoints', signals.list(now).filter(({signal}) => signal === 'limit').length);
--- a/packages/relay/src/upstream/crash-guard.test.ts
+++ b/packages/relay/src/upstream/crash-guard.test.ts
@@ -52,7 +52,7 @@
 		const job = {
 			id: 'r', route: {name: 'route'}, content: new RequestContent({
 				authority: 'a', method: 'POST', target: '/x', workspace: undefined, body: new TextEncoder().encode(text),
-			}), isHeld: false, isOnTrial: false,
+			}), isContentHeld: false, isProbe: false,
 		};
 		return job as unknown as Job; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the guard reads no more of a job
 	}
--- a/packages/relay/src/upstream/crash-guard.ts
+++ b/packages/relay/src/upstream/crash-guard.ts
@@ -114,7 +114,7 @@
 	/** Whether a request may be sent now; what was refused once stays so. */
 	mayRun(job: Job): boolean {
 		const {content} = job;
-		if (job.isHeld) {
+		if (job.isContentHeld) {
 			return false;
 		}
 
@@ -123,9 +123,9 @@
 		}
 
 		const {kind} = this.#suspects.judge(content, this.#parts.context.clock.now());
-		job.isOnTrial ||= kind === 'trial' && this.#trials.begin(content.digest);
-		job.isHeld = kind === 'held' || (kind === 'trial' && !job.isOnTrial);
-		return !job.isHeld;
+		job.isProbe ||= kind === 'trial' && this.#trials.begin(content.digest);
+		job.isContentHeld = kind === 'held' || (kind === 'trial' && !job.isProbe);
+		return !job.isContentHeld;
 	}
 
 	/** Whether a request that was just cut off may be sent elsewhere. One whose content is suspected waits until it is known whether this endpoint ended too, which saves the next one. */
@@ -201,13 +201,13 @@
 	}
 
 	/** A request has run to a good end: its content ends nothing. */
-	noteGood({content, isOnTrial}: Job): void {
+	noteGood({content, isProbe}: Job): void {
 		if (this.#suspects.noteGood(content)) {
 			this.#news.add(content.digest);
 			this.#noteHeld();
 		}
 
-		if (isOnTrial) {
+		if (isProbe) {
 			this.#trials.end(content.digest);
 		}
 	}
--- a/packages/relay/src/upstream/rate-limiter.ts
+++ b/packages/relay/src/upstream/rate-limiter.ts
@@ -13,7 +13,7 @@
 import {type Owner} from '@gatehead/schema/engine-protocol';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
 import {type RateLimit, type RelayMessage, type RelayMessageOf} from '@gatehead/schema/relay-message';
-import {Questions} from '../access/questions.js';
+import {PeerRequests} from '../access/peer-requests.js';
 import {type RelayContext} from '../core/context.js';
 
 /** Interval of the rounds in which shares are asked for, in milliseconds: a share outlives two lost rounds. */
@@ -67,7 +67,7 @@
 	readonly #parts: RateLimiterParts;
 	readonly #granter = new RateGranter();
 	readonly #share: RateShare;
-	readonly #questions: Questions<RateGrant>;
+	readonly #questions: PeerRequests<RateGrant>;
 	readonly #desks = new Map<string, Desk>();
 	readonly #startedAt: number;
 	/** As granter: counts changes of the limits, and which version each host has. */
@@ -86,7 +86,7 @@
 		this.#parts = parts;
 		this.#startedAt = clock.now();
 		this.#share = new RateShare(this.#startedAt);
-		this.#questions = new Questions(clock);
+		this.#questions = new PeerRequests(clock);
 	}
 
 	/** Whether this host grants permits now. */
@@ -186,7 +186,7 @@
 
 	/** Takes the granter's answer. */
 	receiveGranted({ask, granted, waitMs}: RelayMessageOf<'rateGranted'>): void {
-		this.#questions.answer(ask, {granted, waitMs});
+		this.#questions.settle(ask, {granted, waitMs});
 	}
 
 	/** Merges limits; the next round distributes what changed. */
@@ -280,7 +280,7 @@
 			return this.#grant(limit, wanted);
 		}
 
-		const grant = await this.#questions.ask(answerMs, ask => {
+		const grant = await this.#questions.send(answerMs, ask => {
 			send(granter, {
 				kind: 'rateWanted', ask, wanted, limit,
 			});
--- a/packages/relay/src/upstream/sender.ts
+++ b/packages/relay/src/upstream/sender.ts
@@ -269,7 +269,7 @@
 			});
 		}
 
-		if (job.isHeld && !fault.left) {
+		if (job.isContentHeld && !fault.left) {
 			return this.#note(send, {kind: 'notRun', reason: 'held', status: 0}, {});
 		}
 
--- a/packages/relay/src/work/admission.ts
+++ b/packages/relay/src/work/admission.ts
@@ -72,7 +72,7 @@
 
 	/** Records how long a completed request held its memory, in milliseconds; feeds the release rate. */
 	recordHold(service: string, tokens: number, heldMs: number): void {
-		this.rateOf(service).note(tokens, heldMs);
+		this.releaseRateOf(service).note(tokens, heldMs);
 	}
 
 	/** Records the time from a request's reservation to its first event, in milliseconds; feeds the estimate of which waiting requests can still meet their target. */
@@ -81,20 +81,20 @@
 	}
 
 	/** Polls the replicas at once if requests of the service are waiting. */
-	roomAt(service: string): void {
+	handleCapacityFreed(service: string): void {
 		if ((this.#queues.get(service)?.size ?? 0) > 0) {
 			void this.#serveQueues();
 		}
 	}
 
 	/** Estimated rate at which the service's decode memory is released. */
-	rateOf(service: string): ReleaseRate {
+	releaseRateOf(service: string): ReleaseRate {
 		return this.#queueOf(service).rate;
 	}
 
 	/** Time at which a request last waited for the service's memory, at this host or at a peer that reported it. */
-	waitedAt(service: string): number {
-		return this.#queueOf(service).waitedAt();
+	lastWaitedAt(service: string): number {
+		return this.#queueOf(service).lastWaitedAt();
 	}
 
 	/** `Retry-After` in milliseconds if every replica is paused until after the request's target; otherwise undefined. */
--- a/packages/relay/src/work/generation.ts
+++ b/packages/relay/src/work/generation.ts
@@ -46,7 +46,7 @@
 		| {readonly kind: 'retry'};
 
 /** Runs a generation until its reply has ended. */
-export async function workGeneration(parts: WorkParts, job: Job): Promise<JobEnd> {
+export async function runGeneration(parts: WorkParts, job: Job): Promise<JobEnd> {
 	return new Generation(parts, job).run();
 }
 
--- a/packages/relay/src/work/job.ts
+++ b/packages/relay/src/work/job.ts
@@ -30,7 +30,7 @@
 	/** Deadline: the earlier of the caller's timeout and the route's. */
 	readonly deadlineAt: number;
 	/** Whether the caller has sent this request here before, as its shorter timeout indicates. */
-	readonly isSecondTry: boolean;
+	readonly isCallerRetry: boolean;
 	/** Aborts when the caller disconnects or the deadline passes. */
 	readonly signal: AbortSignal;
 	readonly reply: Reply;
@@ -41,9 +41,9 @@
 	/** Number of sends so far, not counting the first prefill of a round. */
 	sends: number;
 	/** Whether a send was suppressed because the content is held. */
-	isHeld: boolean;
+	isContentHeld: boolean;
 	/** Whether this run is the probe that decides if the content, held until recently, stays held. */
-	isOnTrial: boolean;
+	isProbe: boolean;
 };
 
 /** Time until the deadline, in milliseconds; never negative. */
--- a/packages/relay/src/work/parts.ts
+++ b/packages/relay/src/work/parts.ts
@@ -5,7 +5,7 @@
 import {type Endpoints} from '../upstream/endpoints.js';
 import {type OwnCalls} from '../upstream/own-calls.js';
 import {type Sender} from '../upstream/sender.js';
-import {type Budgets} from './budgets.js';
+import {type RetryBudgets} from './retry-budgets.js';
 import {type Admission} from './admission.js';
 import {type StageOrders} from './stage-orders.js';
 
@@ -14,7 +14,7 @@
 	readonly endpoints: Endpoints;
 	readonly sender: Sender;
 	readonly guard: CrashGuard;
-	readonly budgets: Budgets;
+	readonly budgets: RetryBudgets;
 	readonly admission: Admission;
 	readonly ownCalls: OwnCalls;
 	readonly orders: StageOrders;
--- a/packages/relay/src/work/plain.ts
+++ b/packages/relay/src/work/plain.ts
@@ -12,7 +12,7 @@
 import {isOff} from '../core/experiment.js';
 import {readBody} from '../upstream/exchange.js';
 import {answeredElsewhere, type Sent} from '../upstream/sender.js';
-import {type RetryCause} from './budgets.js';
+import {type RetryCause} from './retry-budgets.js';
 import {timeLeft, type Job} from './job.js';
 import {type JobEnd} from './job-end.js';
 import {type WorkParts} from './parts.js';
@@ -60,7 +60,7 @@
 };
 
 /** Runs a request to a plain service until its reply has ended. */
-export async function workPlain(parts: WorkParts, job: Job): Promise<JobEnd> {
+export async function runPlain(parts: WorkParts, job: Job): Promise<JobEnd> {
 	const plain = new PlainWork(parts, job);
 	return job.route.kind === 'repeatable' ? plain.sendHedged() : plain.sendOnce();
 }
@@ -91,7 +91,7 @@
 				return this.#forward(result.answer);
 			}
 
-			if (result.kind === 'unknown' || this.#job.signal.aborted || this.#job.isHeld) {
+			if (result.kind === 'unknown' || this.#job.signal.aborted || this.#job.isContentHeld) {
 				return this.#refuse(endpoint);
 			}
 
@@ -153,7 +153,7 @@
 	/** Starts another attempt; undefined if no endpoint, attempt or budget is left. */
 	#startAttempt(cause: RetryCause | undefined): Hedge | undefined {
 		const endpoint = this.#chooseEndpoint();
-		if (endpoint === undefined || this.#attempts >= maxEndpoints || this.#job.isHeld || this.#job.runs >= this.#job.route.maxAttempts || (cause !== undefined && !this.#mayRetry(cause))) {
+		if (endpoint === undefined || this.#attempts >= maxEndpoints || this.#job.isContentHeld || this.#job.runs >= this.#job.route.maxAttempts || (cause !== undefined && !this.#mayRetry(cause))) {
 			return undefined;
 		}
 
@@ -253,12 +253,12 @@
 	}
 
 	#refuse(endpoint?: Endpoint): JobEnd {
-		const {reply, route, signal, mayHaveRun, sends, isHeld, content} = this.#job;
+		const {reply, route, signal, mayHaveRun, sends, isContentHeld, content} = this.#job;
 		if (signal.aborted && signal.reason === 'callerLeft') {
 			return {outcome: 'callerLeft', endpoint: endpoint?.id};
 		}
 
-		if (isHeld && !signal.aborted) {
+		if (isContentHeld && !signal.aborted) {
 			const code = reply.refuse('contentHeld', {retryAfterMs: this.#parts.guard.holdMs(content) ?? defaultRetryAfterMs, mayHaveRun, isRepeatable: route.kind === 'repeatable'});
 			return {
 				outcome: 'refused', code, endpoint: endpoint?.id, detail: content.digest,
--- a/packages/relay/src/work/prefill.ts
+++ b/packages/relay/src/work/prefill.ts
@@ -54,15 +54,15 @@
 		const tokens = job.facts.promptTokens;
 		const candidates = this.#candidates(decode.hall);
 		for (const endpoint of candidates) {
-			if (job.signal.aborted || job.isHeld || (this.#attempts > 0 && !budgets.take(job, 'prefill'))) {
+			if (job.signal.aborted || job.isContentHeld || (this.#attempts > 0 && !budgets.take(job, 'prefill'))) {
 				return undefined;
 			}
 
 			const queue = endpoints.queueOf(endpoint.id);
 			const startedAt = clock.now();
 			const expectedMs = queue.expect(tokens, startedAt);
-			const {arrivedAt, isSecondTry, route: {targetMs}} = job;
-			const maxExpectedMs = mostReadingMs({targetMs, leftMs: arrivedAt + targetMs - startedAt, isReturned: isSecondTry});
+			const {arrivedAt, isCallerRetry, route: {targetMs}} = job;
+			const maxExpectedMs = mostReadingMs({targetMs, leftMs: arrivedAt + targetMs - startedAt, isReturned: isCallerRetry});
 			if (expectedMs > maxExpectedMs && endpoints.queueOf(decode.id).expect(tokens, startedAt) < expectedMs) {
 				log('prefilled', {
 					request: job.id, endpoint: endpoint.id, outcome: 'left to the decode replica', expectedMs: Math.round(expectedMs),
--- a/packages/relay/src/work/budgets.ts
+++ b/packages/relay/src/work/retry-budgets.ts
@@ -9,7 +9,7 @@
 /** Minimum remaining budget by cause, so that less urgent retries leave the rest to urgent ones. */
 const budgetFloors: Readonly<Partial<Record<RetryCause, number>>> = {slow: 6, error: 3};
 
-export class Budgets {
+export class RetryBudgets {
 	readonly #context: RelayContext;
 	readonly #countHosts: () => number;
 	readonly #budgets = new Map<string, RetryBudget>();
@@ -20,7 +20,7 @@
 	}
 
 	/** Counts an incoming request, which adds to the service's budget. */
-	arrive(service: string): void {
+	recordRequest(service: string): void {
 		this.#budgetOf(service).arrive(this.#context.clock.now());
 	}
 
@@ -43,7 +43,7 @@
 	}
 
 	/** Smallest remaining budget over all services; 0 before the first request. */
-	leastLeft(): number {
+	lowestLeft(): number {
 		const now = this.#context.clock.now();
 		let lowest = Number.POSITIVE_INFINITY;
 		for (const budget of this.#budgets.values()) {
--- a/packages/relay/src/work/service-queue.ts
+++ b/packages/relay/src/work/service-queue.ts
@@ -62,7 +62,7 @@
 	}
 
 	/** Time at which a request last waited, here or at a peer that reported it. */
-	waitedAt(): number {
+	lastWaitedAt(): number {
 		const {context: {clock}, news} = this.#parts;
 		if (this.size > 0 || news.waitingElsewhere(this.#service) > 0) {
 			this.#waitedAt = clock.now();
@@ -191,7 +191,7 @@
 			return 'resumed';
 		}
 
-		return job.isSecondTry && !isOff(context, 'secondTries') ? 'returned' : 'first';
+		return job.isCallerRetry && !isOff(context, 'secondTries') ? 'returned' : 'first';
 	}
 
 	#recordGrant({job, tokens, capacityTokens}: ReservationRequest, {endpoint}: Reservation, waitedMs: number): void {
--- a/packages/relay/src/work/stage-orders.ts
+++ b/packages/relay/src/work/stage-orders.ts
@@ -46,9 +46,9 @@
 	readonly watch: DirectoryWatch;
 	readonly ownCalls: OwnCalls;
 	/** Estimated rate at which a service's decode memory is released. */
-	readonly rateOf: (service: string) => ReleaseRate;
+	readonly releaseRateOf: (service: string) => ReleaseRate;
 	/** Time at which a request last waited for a service's memory, at this host or at a peer. */
-	readonly waitedAt: (service: string) => number;
+	readonly lastWaitedAt: (service: string) => number;
 };
 
 /** Sends stage orders while this host is the leader. */
@@ -111,13 +111,13 @@
 
 	#pacesOf(service: string): Paces {
 		const {readMs, read} = this.splitOf(service);
-		const {rateOf, waitedAt, context: {clock}} = this.#parts;
-		const rate = rateOf(service);
+		const {releaseRateOf, lastWaitedAt, context: {clock}} = this.#parts;
+		const rate = releaseRateOf(service);
 		return {
 			prefillPerS: millisecondsPerSecond / Math.max(minPrefillMs, readMs),
 			decodePerS: rate.perSecond(1),
 			seen: Math.min(read, rate.seen),
-			isShort: clock.now() - waitedAt(service) < shortageMs,
+			isShort: clock.now() - lastWaitedAt(service) < shortageMs,
 		};
 	}
 
