--- a/packages/relay/src/work/job.ts
+++ b/packages/relay/src/work/job.ts
@@ -36,9 +36,9 @@
 	readonly reply: Reply;
 	/** Whether an endpoint may have started to run the request. */
 	mayHaveRun: boolean;
-	/** Number of endpoints that may have run the request. */
+	/** Number of endpoints that may have run the request, without prefills. */
 	runs: number;
-	/** Number of sends so far, not counting the first prefill of a round. */
+	/** Number of sends so far, without prefills. */
 	sends: number;
 	/** Whether a send was suppressed because the content is held. */
 	isContentHeld: boolean;
