--- a/packages/relay/src/core/context.ts
+++ b/packages/relay/src/core/context.ts
@@ -1,7 +1,4 @@
-/**
- * What one relay process knows of itself, in one object that is passed down.
- * Neither safety nor efficiency rests here.
- */
+/** Context of one relay process: settings, clocks, logging and metrics, passed to its components. */
 import {makeIncarnation} from '@gatehead/host/core/context';
 import {HybridClock} from '@gatehead/host/utils/hybrid-clock';
 import {type Log} from '@gatehead/host/utils/log';
@@ -15,7 +12,7 @@
 import {type Dialect} from './dialect.js';
 import {type Directory} from './directory.js';
 
-/** The process's settings, clocks and books. */
+/** Context of one relay process. */
 export type RelayContext = {
 	readonly settings: RelaySettings & PeerSettings;
 	readonly clock: Clock;
@@ -27,20 +24,20 @@
 	readonly timeline: Timeline;
 	readonly dialect: Dialect;
 	readonly directory: Directory;
-	/** This incarnation. */
+	/** Host and incarnation of this process. */
 	readonly self: Owner;
 };
 
-/** What most tasks need: time, chance, and where to write down what happens. */
+/** Subset of the context that most components need. */
 export type Bookkeeping = Pick<RelayContext, 'clock' | 'log' | 'metrics' | 'random'>;
 
-/** What a process is made from. */
+/** Dependencies from which the context is created. */
 export type RelayParts = Pick<RelayContext, 'settings' | 'clock' | 'random' | 'log' | 'metrics' | 'dialect' | 'directory'> & {
-	/** Wall time in milliseconds, for the incarnation's number and the time line only. */
+	/** Wall-clock time in milliseconds; used only for the incarnation number and the timeline. */
 	readonly wall: () => number;
 };
 
-/** Makes the context of a new incarnation. */
+/** Creates the context of a new incarnation. */
 export function makeRelayContext({wall, ...parts}: RelayParts): RelayContext {
 	const {settings, metrics} = parts;
 	const hybrid = new HybridClock(settings.host, wall);
--- a/packages/relay/src/core/dialect.ts
+++ b/packages/relay/src/core/dialect.ts
@@ -1,59 +1,59 @@
 /**
- * What the relay needs said to and heard from callers and endpoints, without
- * the words in which it is said: an adapter has those. Safety: `isNotRun` may
- * only be true where the endpoint itself says that it did not run a request.
+ * Interface to the wire protocol of callers and endpoints; an adapter maps it
+ * to concrete headers, paths and bodies. Safety: `isNotRun` may only be true
+ * if the endpoint itself states that it did not run the request.
  */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type EndpointSignals} from '@gatehead/policy/relay/endpoint-signals';
 import {type Endpoint} from '@gatehead/schema/routing';
 
-/** What a caller's request says of itself. */
+/** Metadata of a caller's request. */
 export type RequestFacts = {
-	/** Name of this try; a caller's next try has another. */
+	/** Id of this attempt; each retry by the caller has its own. */
 	readonly id: string | undefined;
-	/** How long the caller waits, in milliseconds; undefined: it does not say. */
+	/** Caller's timeout in milliseconds; undefined if the request states none. */
 	readonly patienceMs: number | undefined;
 	readonly promptTokens: number;
-	/** The caller's guess at the answer's length, right in the median. */
+	/** Caller's estimate of the response length in tokens: its median, not an upper bound. */
 	readonly answerTokens: number;
-	/** Id of the event after which the caller wants the stream to go on. */
+	/** Id of the last event that the caller received, if it resumes a stream. */
 	readonly lastEventId: string | undefined;
-	/** Tokens of the prompt and of the longest answer, as quotas count them; undefined: the request does not say. */
+	/** Tokens charged to quotas: prompt plus longest possible response; undefined if the request states none. */
 	readonly countedTokens: number | undefined;
 };
 
-/** What is said to an endpoint besides the caller's own headers. */
+/** Metadata sent to an endpoint besides the caller's own headers. */
 export type SendFacts = {
 	readonly endpoint: Endpoint;
-	/** Time left, in milliseconds. */
+	/** Time until the request's deadline, in milliseconds. */
 	readonly leftMs: number;
 	readonly isPrefill?: boolean;
-	/** Where the prompt was read, and the name of the result there. */
+	/** Prefill replica that processed the prompt, and the id of the result there. */
 	readonly source?: {readonly address: string; readonly result: string};
-	/** A reservation at this endpoint. */
+	/** Id of a reservation at this endpoint. */
 	readonly reservation?: string;
 	readonly lastEventId?: string | undefined;
-	/** The workspace whose key the caller showed. */
+	/** Workspace of the key that the caller presented. */
 	readonly workspace?: string | undefined;
 };
 
-/** What an endpoint's answer says of itself. */
+/** Metadata of an endpoint's response. */
 export type AnswerFacts = {
-	/** The request that it answers. */
+	/** Id of the request that it responds to. */
 	readonly id: string | undefined;
-	/** It carries the endpoint's own mark: only marked successes count. */
+	/** Whether the response carries the header that endpoints add; a successful status without it does not count as a success. */
 	readonly isMarked: boolean;
-	/** The endpoint says that it did not run the request. */
+	/** Whether the endpoint states that it did not run the request. */
 	readonly isNotRun: boolean;
-	/** Another endpoint has the address now. */
+	/** Whether the address now belongs to another endpoint. */
 	readonly isOther: boolean;
-	/** How long the connection may rest, in milliseconds; undefined: less than a second. */
+	/** Keep-alive timeout of the idle connection, in milliseconds; undefined: less than a second. */
 	readonly restMs: number | undefined;
-	/** What the endpoint states about itself besides. */
+	/** Limits and state that the endpoint reports about itself. */
 	readonly signals: EndpointSignals;
 };
 
-/** A call of the relay's own to an endpoint. */
+/** Request that the relay itself makes to an endpoint, on behalf of no caller. */
 export type EndpointCall = {
 	readonly method: string;
 	readonly path: string;
@@ -61,36 +61,36 @@
 	readonly body?: string;
 };
 
-/** A caller's question where to go. */
+/** Parameters of a caller's endpoint lookup. */
 export type LookupFacts = {
 	readonly hall: string | undefined;
 };
 
-/** The words of callers and endpoints. */
+/** Protocol spoken with callers and endpoints. */
 export type Dialect = {
-	/** The path of checks of readiness. */
+	/** Path of the readiness check. */
 	readonly readyPath: string;
-	/** The path of lookups. */
+	/** Path of endpoint lookups. */
 	readonly lookupPath: string;
 	readRequest(headers: IncomingHttpHeaders): RequestFacts;
-	/** The digest of the one key that a caller shows, by the headers as they came; undefined: none, more than one, or none that can be read. The key itself is kept nowhere. */
+	/** Digest of the key that a caller presents, from the raw headers; undefined if there is no key, more than one, or a malformed one. The key itself is not stored. */
 	readKeyDigest(rawHeaders: readonly string[]): string | undefined;
-	/** Whether a header, by its name in small letters, says who the caller is: such headers go no further where workspaces have keys. */
+	/** Whether a header (lower-case name) identifies the caller; such headers are not forwarded if workspaces have keys. */
 	isIdentity(header: string): boolean;
-	/** Whether a caller's header, by its name in small letters, is passed on. */
+	/** Whether a caller's header (lower-case name) is forwarded. */
 	isPassed(header: string): boolean;
-	/** Headers said to an endpoint, names and values by turns. */
+	/** Headers to send to an endpoint, as a flat list of alternating names and values. */
 	sendHeaders(facts: SendFacts): string[];
 	readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
-	/** Asks for room for a request of so many tokens. */
+	/** Call that reserves memory for a request of `tokens` tokens for `lifeMs` milliseconds. */
 	reserve(tokens: number, lifeMs: number): EndpointCall;
-	/** The reservation's name, or undefined where the answer holds none. */
+	/** Id of the reservation; undefined if the response contains none. */
 	readReservation(body: string): string | undefined;
 	cancelReservation(reservation: string): EndpointCall;
-	/** The name of a prefill's result, or undefined where the answer holds none. */
+	/** Id of a prefill's result; undefined if the response contains none. */
 	readPrefill(body: string): string | undefined;
 	freeResult(result: string): EndpointCall;
-	/** Orders an engine to change its part, under a fencing token. */
+	/** Call that switches an engine to another stage, guarded by a fencing token. */
 	orderStage(endpoint: Endpoint, stage: 'prefill' | 'decode', holder: string, fence: number): EndpointCall;
 	readLookup(query: URLSearchParams): LookupFacts;
 	writeLookup(addresses: readonly string[], ttlMs: number): string;
--- a/packages/relay/src/core/directory.ts
+++ b/packages/relay/src/core/directory.ts
@@ -1,48 +1,44 @@
-/**
- * Reading what the platform publishes: lists and watches, already translated.
- * Whoever implements this only reads; what to believe is decided elsewhere.
- * Neither safety nor efficiency rests here.
- */
+/** Read-only client interface of the platform's directory: list, watch and position. */
 import {type Position} from '@gatehead/schema/position';
 import {type Endpoint, type Routing} from '@gatehead/schema/routing';
 
-/** One published item or its end, at a revision of the history that its answer belongs to. */
+/** A published item or its removal, at a revision within the epoch of the response. */
 export type Change
 	= | {readonly kind: 'routing'; readonly revision: number; readonly routing: Routing}
 		| {readonly kind: 'endpoint'; readonly revision: number; readonly endpoint: Endpoint}
 		| {readonly kind: 'endpointGone'; readonly instance: string; readonly revision: number}
-		/** An endpoint's entry that cannot be read. */
+		/** An endpoint entry that cannot be parsed. */
 		| {readonly kind: 'endpointUnreadable'; readonly instance: string; readonly revision: number; readonly detail: string}
-		/** The configuration, where it cannot be read. */
+		/** A configuration that cannot be parsed. */
 		| {readonly kind: 'routingUnreadable'; readonly detail: string}
-		/** An item of no known kind. */
+		/** An item of an unknown kind. */
 		| {readonly kind: 'unreadable'; readonly detail: string};
 
 /** Changes up to a position. */
 export type Changes = {
 	readonly changes: readonly Change[];
-	/** Where the directory's history stands: a watch continues from here. */
+	/** Position of the response; the next watch starts after its revision. */
 	readonly position: Position;
 };
 
-/** What a failed read says all the same. */
-export type DirectoryFault = {
-	/** The history that it asked for is gone. */
+/** Details of a failed read. */
+export type DirectoryErrorOptions = {
+	/** Whether the requested revision is no longer available, so that a new list is needed. */
 	readonly isGap?: boolean;
-	/** The directory itself said that it does not answer. */
+	/** Whether the directory itself rejected the request, such as with status 503. */
 	readonly isRefused?: boolean;
-	/** The epoch that the refusal names. */
+	/** Epoch named in the rejection. */
 	readonly epoch?: number;
 	readonly cause?: unknown;
 };
 
-/** Why a read failed: it could not be had, or the history that it asked for is gone. */
+/** Thrown when a read of the directory fails. */
 export class DirectoryError extends Error {
 	readonly isGap: boolean;
 	readonly isRefused: boolean;
 	readonly epoch: number | undefined;
 
-	constructor(message: string, {isGap = false, isRefused = false, epoch, cause}: DirectoryFault = {}) {
+	constructor(message: string, {isGap = false, isRefused = false, epoch, cause}: DirectoryErrorOptions = {}) {
 		super(message, {cause});
 		this.isGap = isGap;
 		this.isRefused = isRefused;
@@ -50,13 +46,13 @@
 	}
 }
 
-/** The published directory. All calls raise a `DirectoryError`. */
+/** Client of the directory. Failed calls reject with a `DirectoryError`. */
 export type Directory = {
-	/** All that is published now. */
+	/** Reads all published items. */
 	list(signal: AbortSignal): Promise<Changes>;
-	/** What has changed since a revision, whichever history now has it; waits up to `waitMs` for something. */
+	/** Reads the changes after a revision of whichever epoch is current; waits up to `waitMs` milliseconds for a change. */
 	watch(after: number, waitMs: number, signal: AbortSignal): Promise<Changes>;
-	/** Where the directory's history stands now, by a read that is never answered from an older state. */
+	/** Reads the current position with a linearizable read. */
 	readPosition(signal: AbortSignal): Promise<Position>;
 	close(): void;
 };
--- a/packages/relay/src/core/experiment.ts
+++ b/packages/relay/src/core/experiment.ts
@@ -1,8 +1,7 @@
-/** Asks whether an experiment has switched a mechanism off. Neither safety nor efficiency rests here: elsewhere all are on. */
 import {type Mechanism} from '@gatehead/schema/relay-settings';
 import {type RelayContext} from './context.js';
 
-/** Whether a mechanism is switched off. */
+/** Whether the experiment settings disable a mechanism; all are enabled by default. */
 export function isOff({settings}: Pick<RelayContext, 'settings'>, mechanism: Mechanism): boolean {
 	return settings.experiments.off.includes(mechanism);
 }
--- a/packages/relay/src/core/routing-state.ts
+++ b/packages/relay/src/core/routing-state.ts
@@ -1,21 +1,21 @@
 /**
- * The configuration in force at one host, and the instant for which it is
- * known to have been the newest. Safety: it never goes back to a lower
- * version in one life of the process, whoever offers one, and only what was
- * asked and answered confirms it.
+ * The active configuration of one host, and the last time at which it was
+ * confirmed as the newest. Safety: a process never returns to a lower version,
+ * whatever the source, and only a completed read of the directory confirms a
+ * version.
  */
 import {RouteTable} from '@gatehead/policy/relay/route-table';
 import {type Routing} from '@gatehead/schema/routing';
 import {type Bookkeeping} from './context.js';
 
-/** Decides what is in force. */
+/** Holds the active configuration. */
 export class RoutingState {
 	readonly #context: Bookkeeping;
 	readonly #onAdopted: (routing: Routing) => void;
 	#table: RouteTable | undefined;
-	/** On this process's clock; a newer version may exist that was published later. */
+	/** Time on this process's monotonic clock; newer versions may have been published since. */
 	#confirmedAt = Number.NEGATIVE_INFINITY;
-	/** A newer version was published that this host cannot read: what it has is not the newest. */
+	/** Whether a newer version was published that this host cannot parse. */
 	#isBehind = false;
 
 	constructor(context: Bookkeeping, onAdopted: (routing: Routing) => void) {
@@ -23,44 +23,44 @@
 		this.#onAdopted = onAdopted;
 	}
 
-	/** Routes in force; undefined: none is known yet. */
+	/** Active routes; undefined before the first configuration. */
 	get table(): RouteTable | undefined {
 		return this.#table;
 	}
 
-	/** Version in force; 0: none. */
+	/** Active version; 0 before the first configuration. */
 	get version(): number {
 		return this.#table?.routing.version ?? 0;
 	}
 
-	/** Whether a newer version exists that this host cannot read. */
+	/** Whether a newer version exists that this host cannot parse. */
 	get isBehind(): boolean {
 		return this.#isBehind;
 	}
 
-	/** The latest instant for which the version in force is known to have been the newest. */
+	/** Latest time at which the active version is known to have been the newest. */
 	get confirmedAt(): number {
 		return this.#confirmedAt;
 	}
 
-	/** How long ago that was, in milliseconds; -1: it was never known. */
+	/** Time since the last confirmation, in milliseconds; -1 if there was none. */
 	ageMs(): number {
 		return Number.isFinite(this.#confirmedAt) ? Math.max(0, this.#context.clock.now() - this.#confirmedAt) : -1;
 	}
 
-	/** Takes note that the version in force was the newest at an instant: the one at which that was asked, not the one at which it was answered. */
+	/** Records that the active version was the newest at `at`: the time at which the read was sent, not that of its response. */
 	confirm(at: number): void {
 		if (!this.#isBehind) {
 			this.#confirmedAt = Math.max(this.#confirmedAt, at);
 		}
 	}
 
-	/** Takes note that a version was published which cannot be read. */
+	/** Records that a version was published that this host cannot parse. */
 	fallBehind(): void {
 		this.#isBehind = true;
 	}
 
-	/** Takes an offer; adopts it where it is newer. `ageMs`: how long ago the host that the offer began with read it. */
+	/** Activates a configuration if it is newer. `ageMs`: time in milliseconds since it was read from the directory. */
 	offer(routing: Routing, source: string, ageMs = 0): void {
 		const {log, metrics} = this.#context;
 		if (routing.version <= this.version) {
