--- a/packages/relay/src/core/directory-intake.ts
+++ b/packages/relay/src/core/directory-change-applier.ts
@@ -1,7 +1,7 @@
 /**
- * Takes over what the directory was read to say: lists replace, single changes
- * are applied, what cannot be read is written down. Safety: each change is
- * placed in the history that its answer belongs to.
+ * Applies what was read from the directory: lists replace the known endpoints,
+ * single changes are applied in order, unreadable items are logged. Safety:
+ * each change is recorded under the epoch of the response that contained it.
  */
 import {type Position} from '@gatehead/schema/position';
 import {type Endpoints} from '../upstream/endpoints.js';
@@ -9,29 +9,28 @@
 import {type Change, type Changes} from './directory.js';
 import {type RoutingState} from './routing-state.js';
 
-/** What is taken over, and where it goes. */
-export type IntakeParts = {
+/** Dependencies of `DirectoryChangeApplier`. */
+export type DirectoryChangeApplierParts = {
 	readonly context: Bookkeeping;
 	readonly endpoints: Endpoints;
 	readonly routing: RoutingState;
-	/** The configuration was written at a position. */
-	readonly onRouting: (position: Position) => void;
+	/** Called with the position at which the configuration was written. */
+	readonly onRoutingWrite: (position: Position) => void;
 };
 
-/** A change and where it stands. */
-type Placed<Kind extends Change['kind']> = {
+/** A change and the epoch of the response that contained it. */
+type VersionedChange<Kind extends Change['kind']> = {
 	readonly change: Extract<Change, {kind: Kind}>;
 	readonly epoch: number | undefined;
 };
-type Takers = {readonly [Kind in Change['kind']]: (placed: Placed<Kind>) => void};
+type ChangeHandlers = {readonly [Kind in Change['kind']]: (versioned: VersionedChange<Kind>) => void};
 
-/** One host's taking over. */
-export class DirectoryIntake {
-	readonly #parts: IntakeParts;
-	/** What is done with each kind of change. */
-	readonly #takers: Takers = {
+/** Applies directory changes to the endpoints and the configuration of one host. */
+export class DirectoryChangeApplier {
+	readonly #parts: DirectoryChangeApplierParts;
+	readonly #handlers: ChangeHandlers = {
 		routing: ({change: {revision, routing}, epoch}) => {
-			this.#parts.onRouting({epoch, revision});
+			this.#parts.onRoutingWrite({epoch, revision});
 			this.#parts.routing.offer(routing, 'directory');
 		},
 		endpoint: ({change: {revision, endpoint}, epoch}) => {
@@ -44,36 +43,36 @@
 		},
 		endpointUnreadable: ({change: {instance, revision, detail}, epoch}) => {
 			const {endpoints} = this.#parts;
-			this.#noteUnreadable('endpoint', detail, instance);
+			this.#reportUnreadable('endpoint', detail, instance);
 			endpoints.note(endpoints.book.hide(instance, {epoch, revision}, this.#now), 'watch');
 		},
 		routingUnreadable: ({change: {detail}}) => {
-			this.#noteUnreadable('routing', detail);
+			this.#reportUnreadable('routing', detail);
 			this.#parts.routing.fallBehind();
 		},
 		unreadable: ({change: {detail}}) => {
-			this.#noteUnreadable('item', detail);
+			this.#reportUnreadable('item', detail);
 		},
 	};
 
-	constructor(parts: IntakeParts) {
+	constructor(parts: DirectoryChangeApplierParts) {
 		this.#parts = parts;
 	}
 
-	/** Takes over a whole list. */
+	/** Replaces the known endpoints by a full list. */
 	replace({changes, position}: Changes): void {
 		const {endpoints} = this.#parts;
 		const listed = changes.flatMap(change => change.kind === 'endpoint' ? [{epoch: position.epoch, revision: change.revision, endpoint: change.endpoint}] : []);
-		// What cannot be read is there all the same
-		const hidden = changes.flatMap(change => change.kind === 'endpointUnreadable' ? endpoints.book.idsOf(change.instance) : []);
-		const ids = new Set([...listed.map(each => each.endpoint.id), ...hidden]);
+		// An unreadable entry still exists, so its endpoints must not be removed
+		const unreadable = changes.flatMap(change => change.kind === 'endpointUnreadable' ? endpoints.book.idsOf(change.instance) : []);
+		const ids = new Set([...listed.map(each => each.endpoint.id), ...unreadable]);
 		endpoints.note(endpoints.book.replace({listed, ids, position}, this.#now), 'list');
 	}
 
-	/** Takes over changes, one after the other. */
+	/** Applies changes in order. */
 	apply({changes, position: {epoch}}: Changes): void {
 		for (const change of changes) {
-			this.#take(change, epoch);
+			this.#applyChange(change, epoch);
 		}
 	}
 
@@ -81,12 +80,12 @@
 		return this.#parts.context.clock.now();
 	}
 
-	#take<Kind extends Change['kind']>(change: Extract<Change, {kind: Kind}> & {readonly kind: Kind}, epoch: number | undefined): void {
-		const take: (placed: Placed<Kind>) => void = this.#takers[change.kind];
-		take({change, epoch});
+	#applyChange<Kind extends Change['kind']>(change: Extract<Change, {kind: Kind}> & {readonly kind: Kind}, epoch: number | undefined): void {
+		const handle: (versioned: VersionedChange<Kind>) => void = this.#handlers[change.kind];
+		handle({change, epoch});
 	}
 
-	#noteUnreadable(item: string, detail: string, endpoint?: string): void {
+	#reportUnreadable(item: string, detail: string, endpoint?: string): void {
 		const {log, metrics} = this.#parts.context;
 		metrics.add('directoryUnreadable', {item});
 		log('directoryUnreadable', {item, endpoint, detail});
--- a/packages/relay/src/core/directory-history.ts
+++ b/packages/relay/src/core/directory-history.ts
@@ -1,69 +1,70 @@
 /**
- * Which of the directory's histories this host follows, and up to where.
- * Safety: an answer of another history is not taken for the next part of this
- * one, and a directory that has just come back from a copy confirms nothing
- * that may have been written since the copy was made.
+ * Tracks the epoch of the directory that this host follows, and its position
+ * in it. The epoch changes when the directory is restored from a backup.
+ * Safety: a response from another epoch is never treated as a continuation of
+ * the current one, and a directory that was just restored does not confirm a
+ * configuration that may have been replaced after the backup was made.
  */
 import {returnGraceMs} from '@gatehead/policy/relay/endpoint-book';
 import {isLater, type Position} from '@gatehead/schema/position';
 
-/** How an answer's history lies to the one that is followed: the same, a later one, or one that is over. */
-export type Standing = 'current' | 'restored' | 'outdated';
+/** How the epoch of a response relates to the current one: the same, a later one after a restore, or an earlier one. */
+export type EpochRelation = 'current' | 'restored' | 'outdated';
 
-/** One host's place in the directory's history. */
+/** One host's position in the directory's history. */
 export class DirectoryHistory {
 	#position: Position | undefined;
-	/** Up to where the directory was read while it answered. */
-	#witnessed: Position | undefined;
-	/** Where and when the history that is followed was first seen, if an earlier one was followed before. */
-	#begin: {readonly position: Position; readonly at: number} | undefined;
-	/** The configuration was written since this history was first seen: it is no copy's. */
-	#isRoutingNew = false;
+	/** Latest position known from a successful read of the directory, by this or another host. */
+	#witnessedPosition: Position | undefined;
+	/** Position and time at which the current epoch was first seen; undefined if no earlier epoch was followed. */
+	#epochStart: {readonly position: Position; readonly at: number} | undefined;
+	/** Whether the configuration was written after the current epoch was first seen, so that it does not come from the backup. */
+	#hasRoutingWrite = false;
 
-	/** Up to where this host knows the directory; undefined: it knows nothing. */
+	/** Latest position known to this host; undefined before the first read or update. */
 	get position(): Position | undefined {
 		return this.#position;
 	}
 
-	/** Whether what this host knows was read while the directory answered, by itself or by the host that the news began with. */
+	/** Whether the latest position was confirmed by a successful read of the directory, by this host or by the host that the update originated from. */
 	get isWitnessed(): boolean {
-		return this.#position === undefined || (this.#witnessed !== undefined && !isLater(this.#position, this.#witnessed));
+		return this.#position === undefined || (this.#witnessedPosition !== undefined && !isLater(this.#position, this.#witnessedPosition));
 	}
 
-	/** How an answer at a position stands. */
-	place(answer: Position): Standing {
-		if (this.#position === undefined || this.#position.epoch === answer.epoch) {
+	/** Compares the epoch of a response with the current one. */
+	classify(position: Position): EpochRelation {
+		if (this.#position === undefined || this.#position.epoch === position.epoch) {
 			return 'current';
 		}
 
-		return isLater(answer, this.#position) ? 'restored' : 'outdated';
+		return isLater(position, this.#position) ? 'restored' : 'outdated';
 	}
 
-	/** Follows a history from the position at which it is first seen. */
-	enter(position: Position, now: number): void {
-		this.#begin = {position, at: now};
-		this.#isRoutingNew = false;
+	/** Switches to a later epoch, first seen at `position`. */
+	switchTo(position: Position, now: number): void {
+		this.#epochStart = {position, at: now};
+		this.#hasRoutingWrite = false;
 		this.#position = position;
 	}
 
-	/** Takes note that all up to a position is known. */
+	/** Records that this host knows the directory up to a position. */
 	advance(position: Position, isWitnessed: boolean): void {
 		if (this.#position === undefined || isLater(position, this.#position)) {
 			this.#position = position;
 		}
 
-		if (isWitnessed && (this.#witnessed === undefined || isLater(position, this.#witnessed))) {
-			this.#witnessed = position;
+		if (isWitnessed && (this.#witnessedPosition === undefined || isLater(position, this.#witnessedPosition))) {
+			this.#witnessedPosition = position;
 		}
 	}
 
-	/** Takes note that the configuration was written at a position. */
-	noteRouting(position: Position): void {
-		this.#isRoutingNew ||= this.#begin !== undefined && isLater(position, this.#begin.position);
+	/** Records that the configuration was written at a position. */
+	recordRoutingWrite(position: Position): void {
+		this.#hasRoutingWrite ||= this.#epochStart !== undefined && isLater(position, this.#epochStart.position);
 	}
 
-	/** Whether the directory's word counts as evidence that a configuration is the newest: what an operator wrote behind the copy is written again within the grace. */
-	mayConfirm(now: number): boolean {
-		return this.#begin === undefined || this.#isRoutingNew || now - this.#begin.at > returnGraceMs;
+	/** Whether a read of the directory proves that a configuration is the newest. After a restore, writes missing from the backup may still have to be repeated, for which operators have a grace period. */
+	canConfirm(now: number): boolean {
+		return this.#epochStart === undefined || this.#hasRoutingWrite || now - this.#epochStart.at > returnGraceMs;
 	}
 }
--- a/packages/relay/src/core/directory-watch.test.ts
+++ b/packages/relay/src/core/directory-watch.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: when one host holds the directory to be away, on a clock that the test moves. */
+/** When a host considers the directory unavailable, and what confirms its configuration, with a manual clock. */
 import {setImmediate} from 'node:timers/promises';
 import {describe, it} from 'node:test';
 import {ManualClock} from '@gatehead/policy/utils/manual-clock';
@@ -20,28 +20,28 @@
 	},
 });
 
-/** What the directory does with a read: it answers at once, fails, or waits until the read is ended. */
+/** How the directory handles a read: responds at once, fails, or waits until the read is aborted. */
 type Answer = 'answers' | 'fails' | 'waits';
 
-/** Waits until a read is ended, as where its connection brings nothing more. */
+/** Waits until a read is aborted, as on a dead connection. */
 async function hang(signal: AbortSignal): Promise<Changes> {
 	return new Promise((_resolve, reject) => {
 		signal.addEventListener('abort', () => {
-			reject(new DirectoryError('ended'));
+			reject(new DirectoryError('aborted'));
 		}, {once: true});
 	});
 }
 
 class ScriptedDirectory implements Directory {
 	answers: Answer[] = [];
-	/** A list that is asked for meanwhile never gets an answer. */
+	/** Whether lists get no response. */
 	isSilent = false;
 	lists = 0;
 	watches = 0;
-	/** What the directory says of its revision, whatever its watches say; undefined: nothing. */
+	/** Revision returned by position reads, independent of watches; undefined: no response. */
 	revisionNow: number | undefined = 1;
 
-	/** Which of its histories the directory is in. */
+	/** Current epoch. */
 	epoch = 1;
 
 	async readPosition(signal: AbortSignal): Promise<Position> {
@@ -86,59 +86,59 @@
 	}
 }
 
-type Step = {readonly answers: readonly Answer[]} | {readonly wait: number} | 'doubt' | 'resign' | 'endpointGoes';
+type Step = {readonly answers: readonly Answer[]} | {readonly wait: number} | 'recheck' | 'stopReading' | 'endpointRemoved';
 
 type StartCase = {
 	readonly name: string;
-	/** How long the directory says nothing after the host has started, in milliseconds. */
+	/** Time for which the directory does not respond after the host starts, in milliseconds. */
 	readonly silentMs: number;
-	/** Time by which the host knows the directory, in milliseconds. */
+	/** Time by which the host must have the list, in milliseconds. */
 	readonly byMs: number;
-	/** Most lists asked for until then. */
-	readonly mostLists: number;
+	/** Maximum number of list calls until then. */
+	readonly maxLists: number;
 };
 
 const startCases: readonly StartCase[] = [
 	{
-		name: 'a directory that answers is known at once', silentMs: 0, byMs: 0, mostLists: 1,
+		name: 'an available directory is listed at once', silentMs: 0, byMs: 0, maxLists: 1,
 	},
 	{
-		name: 'one that was silent for a moment is known soon after', silentMs: 200, byMs: 600, mostLists: 2,
+		name: 'a short outage delays the first list only briefly', silentMs: 200, byMs: 600, maxLists: 2,
 	},
 	{
-		name: 'a longer silence costs a second more, and few calls', silentMs: 1200, byMs: 2200, mostLists: 4,
+		name: 'a longer outage adds at most a second, with few calls', silentMs: 1200, byMs: 2200, maxLists: 4,
 	},
 	{
-		name: 'a long one no more than that', silentMs: 9000, byMs: 12_000, mostLists: 9,
+		name: 'after a long outage the list is read within three seconds', silentMs: 9000, byMs: 12_000, maxLists: 9,
 	},
 ];
 
-/** Step in which the clock moves while a host starts, in milliseconds. */
+/** Clock step in milliseconds. */
 const stepMs = 20;
 
-type Case = {
+type WatchCase = {
 	readonly name: string;
 	readonly steps: readonly Step[];
 	readonly isDown: boolean;
-	/** Whether the endpoint still takes work. */
+	/** Whether the endpoint is still considered ready. */
 	readonly isReady: boolean;
 };
 
-const cases: readonly Case[] = [
+const watchCases: readonly WatchCase[] = [
 	{
-		name: 'one watch that is cut is no outage', steps: [{answers: ['fails', 'answers']}, 'doubt', {wait: 400}, 'endpointGoes'], isDown: false, isReady: false,
+		name: 'one failed watch is not an outage', steps: [{answers: ['fails', 'answers']}, 'recheck', {wait: 400}, 'endpointRemoved'], isDown: false, isReady: false,
 	},
 	{
-		name: 'two failed reads are one', steps: [{answers: ['fails', 'fails', 'fails', 'fails']}, 'doubt', {wait: 1200}, 'endpointGoes'], isDown: true, isReady: true,
+		name: 'two failed reads are an outage', steps: [{answers: ['fails', 'fails', 'fails', 'fails']}, 'recheck', {wait: 1200}, 'endpointRemoved'], isDown: true, isReady: true,
 	},
 	{
-		name: 'a watch that was ended from here is no outage', steps: [{answers: ['answers']}, 'doubt', {wait: 10}, 'endpointGoes'], isDown: false, isReady: false,
+		name: 'a watch aborted by this host is not an outage', steps: [{answers: ['answers']}, 'recheck', {wait: 10}, 'endpointRemoved'], isDown: false, isReady: false,
 	},
 	{
-		name: 'who reads no more believes the others, though its own last reads failed', steps: [{answers: ['fails', 'fails', 'fails', 'fails']}, 'doubt', {wait: 400}, 'resign', {wait: 1500}, {wait: 600}, {wait: 2500}, 'endpointGoes'], isDown: false, isReady: false,
+		name: 'a host that is no longer a reader accepts removals from others despite its own failed reads', steps: [{answers: ['fails', 'fails', 'fails', 'fails']}, 'recheck', {wait: 400}, 'stopReading', {wait: 1500}, {wait: 600}, {wait: 2500}, 'endpointRemoved'], isDown: false, isReady: false,
 	},
 	{
-		name: 'a silent directory is noticed soon after a doubt', steps: ['doubt', {wait: 1600}, {wait: 2000}, {wait: 2000}], isDown: true, isReady: true,
+		name: 'an unresponsive directory is detected soon after a recheck', steps: ['recheck', {wait: 1600}, {wait: 2000}, {wait: 2000}], isDown: true, isReady: true,
 	},
 ];
 
@@ -148,7 +148,7 @@
 	}
 }
 
-/** A host's reading of a directory, on a clock that the test moves. */
+/** Creates a host's directory watch with a manual clock. */
 function makeWatch(directory: ScriptedDirectory) {
 	const clock = new ManualClock();
 	const context = {
@@ -169,7 +169,7 @@
 
 describe('directory watch', () => {
 	for (const {
-		name, silentMs, byMs, mostLists,
+		name, silentMs, byMs, maxLists,
 	} of startCases) {
 		it(name, async () => {
 			const directory = new ScriptedDirectory();
@@ -185,13 +185,13 @@
 
 			watch.stop();
 			expect(endpoints.book.isReady('e')).toEqual(true);
-			expect(directory.lists <= mostLists).toEqual(true);
+			expect(directory.lists <= maxLists).toEqual(true);
 		});
 	}
 
 	for (const {
 		name, steps, isDown, isReady,
-	} of cases) {
+	} of watchCases) {
 		it(name, async () => {
 			const directory = new ScriptedDirectory();
 			const {clock, endpoints, watch, role} = makeWatch(directory);
@@ -199,19 +199,19 @@
 			await settle();
 			for (const step of steps) {
 				switch (step) {
-					case 'resign': {
+					case 'stopReading': {
 						role.isReader = false;
 
 						break;
 					}
 
-					case 'doubt': {
-						watch.doubt();
+					case 'recheck': {
+						watch.recheck();
 
 						break;
 					}
 
-					case 'endpointGoes': {
+					case 'endpointRemoved': {
 						endpoints.book.remove('e', {epoch: 1, revision: 2}, clock.now());
 
 						break;
@@ -234,7 +234,7 @@
 		});
 	}
 
-	it('a silent connection is noticed within a second at the host whose watches are short', async () => {
+	it('a host with short watches detects a dead connection within a second', async () => {
 		for (const [isShortWatcher, watches] of [[true, 2], [false, 1]] as const) {
 			const directory = new ScriptedDirectory();
 			const {clock, watch, role} = makeWatch(directory);
@@ -251,7 +251,7 @@
 		}
 	});
 
-	it('a watch that is answered from another history is not gone on with: the directory is listed', async () => {
+	it('a watch response from a new epoch triggers a list', async () => {
 		const directory = new ScriptedDirectory();
 		const {clock, watch} = makeWatch(directory);
 		directory.answers = ['answers', 'waits'];
@@ -260,7 +260,7 @@
 		const {lists} = directory;
 		directory.epoch = 2;
 		directory.answers = ['answers'];
-		watch.doubt();
+		watch.recheck();
 		await settle();
 		clock.advance(2);
 		await settle();
@@ -269,49 +269,49 @@
 		expect(watch.position).toEqual({epoch: 2, revision: 1});
 	});
 
-	it('an answer from a history that is over changes nothing', async () => {
+	it('a response from an outdated epoch changes nothing', async () => {
 		const directory = new ScriptedDirectory();
 		const {watch} = makeWatch(directory);
 		watch.start();
 		await settle();
-		watch.follow({epoch: 2, revision: 1}, 'peer');
+		watch.followEpoch({epoch: 2, revision: 1}, 'peer');
 		directory.answers = ['answers'];
-		watch.doubt();
+		watch.recheck();
 		await settle();
 		watch.stop();
 		expect(watch.position).toEqual({epoch: 2, revision: 1});
 		expect(directory.lists).toEqual(1);
 	});
 
-	it('what was heard is as good as its source: a host that reads, or one that heard from such a one', () => {
+	it('a position counts as confirmed only if its source read the directory', () => {
 		const {watch} = makeWatch(new ScriptedDirectory());
-		watch.hear({revision: 4}, true);
+		watch.advance({revision: 4}, true);
 		expect(watch.isWitnessed).toEqual(true);
-		watch.hear({revision: 5}, false);
+		watch.advance({revision: 5}, false);
 		expect(watch.isWitnessed).toEqual(false);
-		watch.hear({revision: 5}, true);
+		watch.advance({revision: 5}, true);
 		expect(watch.isWitnessed).toEqual(true);
 	});
 });
 
 type ConfirmCase = {
 	readonly name: string;
-	/** The directory's revision; undefined: it says nothing. This host knows all up to 1. */
+	/** Revision of the directory; undefined: no response. This host has revision 1. */
 	readonly revisionNow: number | undefined;
-	/** Lists that are asked for besides. */
+	/** Expected number of additional lists. */
 	readonly lists: number;
 	readonly isConfirmed: boolean;
 };
 
 const confirmCases: readonly ConfirmCase[] = [
 	{
-		name: 'a directory that knows no more confirms what is known', revisionNow: 1, lists: 0, isConfirmed: true,
+		name: 'a directory at the same revision confirms the configuration', revisionNow: 1, lists: 0, isConfirmed: true,
 	},
 	{
-		name: 'one that knows more is listed, though the watch says nothing', revisionNow: 2, lists: 1, isConfirmed: true,
+		name: 'a directory at a later revision is listed, even though the watch reported nothing', revisionNow: 2, lists: 1, isConfirmed: true,
 	},
 	{
-		name: 'a silent one confirms nothing', revisionNow: undefined, lists: 0, isConfirmed: false,
+		name: 'an unresponsive directory confirms nothing', revisionNow: undefined, lists: 0, isConfirmed: false,
 	},
 ];
 
@@ -339,8 +339,8 @@
 	}
 
 	for (const {name, waitMs, isConfirmed} of [
-		{name: 'a directory just back from a copy confirms nothing: the operator may not have written again', waitMs: 0, isConfirmed: false},
-		{name: 'it does when the grace is over', waitMs: 2300, isConfirmed: true},
+		{name: 'a just restored directory confirms nothing, because lost writes may not have been repeated', waitMs: 0, isConfirmed: false},
+		{name: 'a restored directory confirms after the grace period', waitMs: 2300, isConfirmed: true},
 	]) {
 		it(name, async () => {
 			const directory = new ScriptedDirectory();
@@ -359,7 +359,7 @@
 		});
 	}
 
-	it('counts from the asking, and many that ask share one read', async () => {
+	it('confirms as of the request, and concurrent callers share one read', async () => {
 		const directory = new ScriptedDirectory();
 		const {clock, watch, routing} = makeWatch(directory);
 		watch.start();
--- a/packages/relay/src/core/directory-watch.ts
+++ b/packages/relay/src/core/directory-watch.ts
@@ -1,8 +1,8 @@
 /**
- * Reads the published directory: a list at the start, after a gap and in a
- * new history, one watch after the other else. Efficiency, but for two rules:
- * what the directory does not say is not believed to be gone while it is away,
- * and a watch never goes on from one history into another.
+ * Reads the directory: a list at the start, after a gap and in a new epoch,
+ * otherwise consecutive watches. Safety: an endpoint is not considered gone for
+ * lack of confirmation while the directory is unavailable, and a watch never
+ * continues from one epoch into another.
  */
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {jitter} from '@gatehead/policy/utils/random';
@@ -11,158 +11,157 @@
 import {type Bookkeeping, type RelayContext} from './context.js';
 import {DirectoryError, type Changes} from './directory.js';
 import {DirectoryHistory} from './directory-history.js';
-import {DirectoryIntake} from './directory-intake.js';
+import {DirectoryChangeApplier} from './directory-change-applier.js';
 import {type RoutingState} from './routing-state.js';
 
-/** Part by which the pause before the next read differs, so that hosts do not ask together. */
-const retrySpread = 0.3;
-/** Failures in a row beyond which the pause between reads grows no further: the setting's longest pause bounds it before. */
-const mostDoublings = 8;
-/** Pause before the list that follows a gap, in milliseconds: only lets other work of this turn go first. */
+/** Relative jitter of the retry delay, so that hosts do not retry at the same time. */
+const retryJitter = 0.3;
+/** Consecutive failures after which delays and timeouts no longer double; keeps the factor finite. */
+const maxBackoffDoublings = 8;
+/** Delay before the list after a gap, in milliseconds; only yields to other pending work. */
 const gapPauseMs = 1;
-/** Time that the directory gets to answer a watch that waits briefly, beyond its wait, in milliseconds; doubled with each failure: twice what one takes that is fifty times slower than usual. */
-const briefAnswerMs = 400;
-/** Wait of the watch that only asks whether the directory is back, in milliseconds: the shortest that the directory takes. */
-const probeMs = 1;
-/** Interval at which a host that need not watch looks whether that has changed, in milliseconds: shorter than a tick between hosts. */
-const idleMs = 500;
-/** Time that the first list of a host which knows nothing yet gets, in milliseconds, doubled with each that fails: a hundred times what a directory at ease takes. A connection that was opened while the directory said nothing stays silent, and the host refuses all callers until its list is there. */
-const firstListMs = 250;
-/** Time that the directory gets to tell its revision, in milliseconds: twice what one takes that is sixty times slower than usual. */
-const confirmMs = 500;
-/** Reads that must fail one after the other before the directory counts as away: it may cut a watch while it waits, and entries lapse only in outages of two heartbeats (2.4 s) or more. */
-const awayFailures = 2;
-
-function outcomeOf(isGap: boolean, isSilent: boolean): string {
+/** Response timeout of a watch with a short wait, in addition to its wait, in milliseconds; doubles with each failure. */
+const shortWatchTimeoutMs = 400;
+/** Wait of a watch that only checks whether the directory is available, in milliseconds: the minimum that the directory accepts. */
+const probeWaitMs = 1;
+/** Interval at which a host that does not read the directory checks whether it has become a reader, in milliseconds; shorter than the heartbeat interval. */
+const roleCheckMs = 500;
+/** Timeout of the first list, in milliseconds; doubles with each failure. Short, because a connection opened during an outage may never respond, and the host rejects all callers until it has a list. */
+const initialListTimeoutMs = 250;
+/** Timeout of a position read, in milliseconds. */
+const confirmTimeoutMs = 500;
+/** Consecutive failures after which the directory counts as unavailable. One failure is not enough, because the directory may close a pending watch; its entries only expire in outages of two heartbeats (2.4 s) or more. */
+const unavailableAfterFailures = 2;
+
+function outcomeOf(isGap: boolean, isTimeout: boolean): string {
 	if (isGap) {
 		return 'gap';
 	}
 
-	return isSilent ? 'silent' : 'failed';
+	return isTimeout ? 'silent' : 'failed';
 }
 
-/** What a read came to. `failed` once: the directory may cut a watch while it waits; `away`: it is away from this host. */
+/** Outcome of a read. `failed`: a single failure, such as a closed watch; `away`: the directory is unavailable to this host. */
 export type ReadOutcome = 'answered' | 'failed' | 'away';
 
-/** What the watch works with. */
-export type WatchParts = {
+/** Dependencies of `DirectoryWatch`. */
+export type DirectoryWatchParts = {
 	readonly context: Bookkeeping & Pick<RelayContext, 'directory' | 'settings'>;
 	readonly endpoints: Endpoints;
 	readonly routing: RoutingState;
-	/** Whether this host reads the directory itself, or hears of it from others. */
+	/** Whether this host reads the directory itself; otherwise other hosts send it updates. */
 	readonly isReader: () => boolean;
-	/** Whether this host is the one whose watches are short, so that the others' silence is noticed. */
+	/** Whether this host uses short watches, so that one host of the fleet detects dead connections early. */
 	readonly isShortWatcher: () => boolean;
 	/** Called with the outcome of each read of the directory. */
 	readonly onRead: (outcome: ReadOutcome) => void;
-	/** Called when something was read that others may not know. */
+	/** Called when a read returned changes that other hosts may lack. */
 	readonly onNews: () => void;
 };
 
-/** One host's reading of the directory. */
+/** Reader of the directory at one host. */
 export class DirectoryWatch {
-	readonly #parts: WatchParts;
+	readonly #parts: DirectoryWatchParts;
 	readonly #abort = new AbortController();
-	/** Ends the read in work. */
-	#call: AbortController | undefined;
+	/** Aborts the read in progress. */
+	#readAbort: AbortController | undefined;
 	#timer: Timer | undefined;
-	/** Ends the pause of a host that is not needed. */
+	/** Ends the idle delay of a host that is not a reader. */
 	#wake: (() => void) | undefined;
-	#isDown = false;
+	#isUnavailable = false;
 	#failures = 0;
-	/** A watch was ended because others know more; until a read is answered the directory is asked anew. */
-	#isDoubted = false;
+	/** Whether `recheck` aborted a watch and no read has succeeded since; watches use the shortest wait meanwhile. */
+	#isRechecking = false;
 	#mustList = true;
-	/** When the newest that this host knows was read, on its own clock. */
+	/** Time at which the latest known state was read, on this host's clock. */
 	#readAt = Number.NEGATIVE_INFINITY;
 	readonly #history = new DirectoryHistory();
-	readonly #intake: DirectoryIntake;
-	/** The confirmation under way: all that ask meanwhile share it. */
+	readonly #changeApplier: DirectoryChangeApplier;
+	/** Confirmation in progress, shared by concurrent callers. */
 	#confirming: Promise<void> | undefined;
 
-	constructor(parts: WatchParts) {
+	constructor(parts: DirectoryWatchParts) {
 		this.#parts = parts;
-		this.#intake = new DirectoryIntake({
+		this.#changeApplier = new DirectoryChangeApplier({
 			...parts,
-			onRouting: position => {
-				this.#history.noteRouting(position);
+			onRoutingWrite: position => {
+				this.#history.recordRoutingWrite(position);
 			},
 		});
 	}
 
-	/** Up to where this host knows the directory; undefined: it knows nothing. */
+	/** Latest position known to this host; undefined before the first read or update. */
 	get position(): Position | undefined {
 		return this.#history.position;
 	}
 
-	/** The revision of that; -1: it knows nothing. */
+	/** Revision of `position`; -1 if undefined. */
 	get revision(): number {
 		return this.position?.revision ?? -1;
 	}
 
-	/** Whether the directory is held to be away. */
+	/** Whether the directory is considered unavailable. */
 	get isDown(): boolean {
-		return this.#isDown;
+		return this.#isUnavailable;
 	}
 
-	/** Starts to read. */
+	/** Starts reading. */
 	start(): void {
 		void this.#run();
 	}
 
-	/** Stops. */
 	stop(): void {
 		this.#abort.abort();
 		this.#timer?.stop();
 	}
 
-	/** Ends a watch that has not brought what others know; the next read goes over another connection. */
-	doubt(): void {
-		if (!this.#isDown && !this.#isDoubted) {
-			this.#isDoubted = true;
-			this.#call?.abort();
+	/** Aborts a watch that has not delivered changes known to other hosts; the next read uses a new connection. */
+	recheck(): void {
+		if (!this.#isUnavailable && !this.#isRechecking) {
+			this.#isRechecking = true;
+			this.#readAbort?.abort();
 		}
 	}
 
-	/** Begins the next read at once, where this host only waits to be needed. */
+	/** Starts the next read at once if this host is idle because it was not a reader. */
 	wake(): void {
 		this.#wake?.();
 	}
 
-	/** Whether the directory answered this host's last read. */
-	get isAnswered(): boolean {
+	/** Whether this host's last read succeeded. */
+	get isHealthy(): boolean {
 		return this.#failures === 0;
 	}
 
-	/** Whether what this host knows was read while the directory answered, by itself or by the host that the news began with. */
+	/** Whether the latest position was confirmed by a successful read of the directory, by this host or by the host that the update originated from. */
 	get isWitnessed(): boolean {
 		return this.#history.isWitnessed;
 	}
 
-	/** How long ago what this host knows was read, by itself or by the host that the news began with, in milliseconds. */
+	/** Time since the latest known state was read from the directory, by this or another host, in milliseconds; 0 if there is none. */
 	get ageMs(): number {
 		return Number.isFinite(this.#readAt) ? Math.max(0, this.#parts.context.clock.now() - this.#readAt) : 0;
 	}
 
-	/** Takes over what another host has read, so long ago. */
-	hear(position: Position, isWitnessed: boolean, ageMs = 0): void {
+	/** Advances to a position whose state was read `ageMs` milliseconds ago, by this or another host. */
+	advance(position: Position, isWitnessed: boolean, ageMs = 0): void {
 		this.#readAt = this.#parts.context.clock.now() - ageMs;
 		this.#history.advance(position, isWitnessed);
 	}
 
 	/**
-	 * Follows the history of a position that was read or heard, where it is a
-	 * later one: the directory has come back from a copy. Called before
-	 * anything of it is believed.
+	 * Switches to the epoch of a position if it is a later one, that is, if the
+	 * directory was restored from a backup. Must be called before any state of
+	 * that position is applied.
 	 */
-	follow(position: Position, source: string): void {
-		if (this.#history.place(position) !== 'restored') {
+	followEpoch(position: Position, source: string): void {
+		if (this.#history.classify(position) !== 'restored') {
 			return;
 		}
 
 		const {context: {clock, log, metrics}, endpoints} = this.#parts;
 		const {position: previous} = this;
-		this.#history.enter(position, clock.now());
+		this.#history.switchTo(position, clock.now());
 		endpoints.book.directoryRestored(position, clock.now());
 		metrics.add('directoryRestores');
 		log('directoryRestored', {
@@ -171,9 +170,10 @@
 	}
 
 	/**
-	 * Asks the directory whether this host knows all that is published, reads
-	 * what it lacks, and notes the instant of asking. A watch is no evidence:
-	 * its connection may be cut in silence, and it may be told of a change late.
+	 * Checks with the directory that this host is up to date, reads what is
+	 * missing, and confirms the configuration as of the time of the request. A
+	 * pending watch proves nothing: its connection may be dead, or a change may
+	 * be delivered late.
 	 */
 	async confirm(): Promise<void> {
 		this.#confirming ??= this.#confirm().finally(() => {
@@ -187,10 +187,10 @@
 		while (!this.#abort.signal.aborted) {
 			const isNeeded = this.position === undefined || this.#parts.isReader();
 			if (!isNeeded) {
-				this.#resign();
+				this.#stopReading();
 			}
 
-			const pauseMs = isNeeded ? await this.#read() : idleMs;
+			const pauseMs = isNeeded ? await this.#read() : roleCheckMs;
 			if (pauseMs > 0) {
 				await new Promise<void>(resolve => {
 					this.#timer = clock.after(pauseMs, resolve);
@@ -202,48 +202,48 @@
 		}
 	}
 
-	/** Others read the directory now: that this host could not says nothing any more, and what they call gone is believed. */
-	#resign(): void {
-		if (this.#isDown) {
+	/** Clears this host's own failures when other hosts read the directory, so that endpoints which those report as removed are removed here too. */
+	#stopReading(): void {
+		if (this.#isUnavailable) {
 			const {context: {clock, log}, endpoints} = this.#parts;
-			this.#isDown = false;
+			this.#isUnavailable = false;
 			this.#failures = 0;
 			endpoints.book.directoryLeftToOthers(clock.now());
-			log('directoryBack', {revision: this.revision, detail: 'other hosts read it now'});
+			log('directoryBack', {revision: this.revision, detail: 'other hosts now read the directory'});
 		}
 	}
 
-	/** One read; returns the pause before the next. */
+	/** Performs one read; returns the delay before the next one, in milliseconds. */
 	async #read(): Promise<number> {
 		const {metrics} = this.#parts.context;
-		const wasDoubted = this.#isDoubted;
+		const wasRechecking = this.#isRechecking;
 		const from = this.position;
 		const read = this.#mustList || from === undefined ? 'list' : 'watch';
 		const askedAt = this.#parts.context.clock.now();
 		try {
 			const changes = from === undefined || read === 'list' ? await this.#list() : await this.#watch(from.revision);
-			this.#refuseOutdated(changes.position);
+			this.#rejectOutdated(changes.position);
 			metrics.add('directoryReads', {read, outcome: 'answered'});
-			this.#back();
+			this.#markAvailable();
 			if (read === 'watch' && changes.position.epoch !== from?.epoch) {
-				// What this history changed below the revision that was asked for is not among the changes
+				// The response omits changes of the new epoch below the requested revision
 				this.#mustList = true;
 				return gapPauseMs;
 			}
 
-			this.#take(changes, read);
+			this.#apply(changes, read);
 			if (read === 'list') {
-				this.#confirmAt(askedAt);
+				this.#recordConfirmation(askedAt);
 			}
 
 			return 0;
 		} catch (error) {
-			if (this.#abort.signal.aborted || this.#isDoubted !== wasDoubted) {
-				// Ended from here: that says nothing about the directory
+			if (this.#abort.signal.aborted || this.#isRechecking !== wasRechecking) {
+				// Aborted by this host, so this is no failure of the directory
 				return 0;
 			}
 
-			return this.#fail(error, read, this.#call?.signal.aborted === true);
+			return this.#handleFailure(error, read, this.#readAbort?.signal.aborted === true);
 		}
 	}
 
@@ -251,21 +251,21 @@
 		const {routing, context: {clock, directory, metrics, settings: {timing}}} = this.#parts;
 		const askedAt = clock.now();
 		try {
-			const position = await this.#limit(confirmMs, async signal => directory.readPosition(signal));
+			const position = await this.#withTimeout(confirmTimeoutMs, async signal => directory.readPosition(signal));
 			metrics.add('directoryReads', {read: 'revision', outcome: 'answered'});
 			if (this.position !== undefined && isCovered(position, this.position)) {
-				this.#confirmAt(askedAt);
+				this.#recordConfirmation(askedAt);
 				return;
 			}
 
-			this.#refuseOutdated(position);
+			this.#rejectOutdated(position);
 
 			const listedAt = clock.now();
-			const changes = await this.#limit(timing.directoryAnswerMs, async signal => directory.list(signal));
-			this.#refuseOutdated(changes.position);
+			const changes = await this.#withTimeout(timing.directoryAnswerMs, async signal => directory.list(signal));
+			this.#rejectOutdated(changes.position);
 			metrics.add('directoryReads', {read: 'list', outcome: 'answered'});
-			this.#take(changes, 'list');
-			this.#confirmAt(listedAt);
+			this.#apply(changes, 'list');
+			this.#recordConfirmation(listedAt);
 		} catch (error) {
 			metrics.add('directoryReads', {read: 'revision', outcome: 'failed'});
 			this.#parts.context.log('directoryUnconfirmed', {revision: this.revision, confirmedMs: Math.round(routing.ageMs()), detail: String(error)});
@@ -274,27 +274,27 @@
 
 	async #list(): Promise<Changes> {
 		const {context: {directory, settings: {timing}}} = this.#parts;
-		const limitMs = this.position === undefined ? firstListMs * (2 ** Math.min(this.#failures, mostDoublings)) : timing.directoryAnswerMs;
-		return this.#limitRead(Math.min(limitMs, timing.directoryAnswerMs), async signal => directory.list(signal));
+		const limitMs = this.position === undefined ? initialListTimeoutMs * (2 ** Math.min(this.#failures, maxBackoffDoublings)) : timing.directoryAnswerMs;
+		return this.#withReadTimeout(Math.min(limitMs, timing.directoryAnswerMs), async signal => directory.list(signal));
 	}
 
 	async #watch(after: number): Promise<Changes> {
 		const {isShortWatcher, context: {directory, settings: {timing}}} = this.#parts;
-		const calmMs = isShortWatcher() ? Math.min(timing.shortWatchMs, timing.watchMs) : timing.watchMs;
-		const waitMs = this.#failures > 0 || this.#isDoubted ? probeMs : calmMs;
-		// Connections die in silence: a host that is to notice that for all must not wait as long as for a list
-		const answerMs = waitMs < timing.watchMs ? briefAnswerMs * (2 ** Math.min(this.#failures, mostDoublings)) : timing.directoryAnswerMs;
-		return this.#limitRead(waitMs + Math.min(answerMs, timing.directoryAnswerMs), async signal => directory.watch(after, waitMs, signal));
+		const normalWaitMs = isShortWatcher() ? Math.min(timing.shortWatchMs, timing.watchMs) : timing.watchMs;
+		const waitMs = this.#failures > 0 || this.#isRechecking ? probeWaitMs : normalWaitMs;
+		// Short watches exist to detect dead connections, so they need a shorter timeout than lists
+		const answerMs = waitMs < timing.watchMs ? shortWatchTimeoutMs * (2 ** Math.min(this.#failures, maxBackoffDoublings)) : timing.directoryAnswerMs;
+		return this.#withReadTimeout(waitMs + Math.min(answerMs, timing.directoryAnswerMs), async signal => directory.watch(after, waitMs, signal));
 	}
 
-	/** A read of the watch, which `doubt` may end. */
-	async #limitRead<Result>(limitMs: number, call: (signal: AbortSignal) => Promise<Result>): Promise<Result> {
+	/** Runs a read that `recheck` can abort. */
+	async #withReadTimeout<Result>(limitMs: number, call: (signal: AbortSignal) => Promise<Result>): Promise<Result> {
 		const controller = new AbortController();
-		this.#call = controller;
-		return this.#limit(limitMs, call, controller);
+		this.#readAbort = controller;
+		return this.#withTimeout(limitMs, call, controller);
 	}
 
-	async #limit<Result>(limitMs: number, call: (signal: AbortSignal) => Promise<Result>, controller = new AbortController()): Promise<Result> {
+	async #withTimeout<Result>(limitMs: number, call: (signal: AbortSignal) => Promise<Result>, controller = new AbortController()): Promise<Result> {
 		const {clock} = this.#parts.context;
 		const timer = clock.after(limitMs, () => {
 			controller.abort();
@@ -306,39 +306,39 @@
 		}
 	}
 
-	/** `isSilent`: nothing came within the read's own bound. */
-	#fail(error: unknown, read: string, isSilent: boolean): number {
+	/** Handles a failed read; returns the delay before the next one, in milliseconds. `isTimeout`: there was no response within the read's timeout. */
+	#handleFailure(error: unknown, read: string, isTimeout: boolean): number {
 		const {log, metrics, random, settings: {timing}} = this.#parts.context;
 		const isGap = error instanceof DirectoryError && error.isGap;
-		metrics.add('directoryReads', {read, outcome: outcomeOf(isGap, isSilent)});
-		const namesAnother = error instanceof DirectoryError && error.epoch !== undefined && this.#history.place({epoch: error.epoch, revision: 0}) === 'restored';
-		this.#mustList ||= namesAnother;
+		metrics.add('directoryReads', {read, outcome: outcomeOf(isGap, isTimeout)});
+		const hasNewEpoch = error instanceof DirectoryError && error.epoch !== undefined && this.#history.classify({epoch: error.epoch, revision: 0}) === 'restored';
+		this.#mustList ||= hasNewEpoch;
 		if (isGap) {
-			log('directoryLost', {read, revision: this.revision, detail: 'the history since this revision is gone; it is listed anew'});
+			log('directoryLost', {read, revision: this.revision, detail: 'the changes since this revision are no longer available; listing again'});
 			this.#mustList = true;
 			return gapPauseMs;
 		}
 
 		this.#failures += 1;
 		const isRefused = error instanceof DirectoryError && error.isRefused;
-		this.#parts.onRead(isSilent || isRefused || this.#failures >= awayFailures ? 'away' : 'failed');
+		this.#parts.onRead(isTimeout || isRefused || this.#failures >= unavailableAfterFailures ? 'away' : 'failed');
 
-		if (!this.#isDown && this.#failures >= awayFailures) {
-			this.#lose(error, read);
+		if (!this.#isUnavailable && this.#failures >= unavailableAfterFailures) {
+			this.#markUnavailable(error, read);
 		}
 
-		if (isSilent && this.#failures === 1) {
-			// The connection may have died; the next read goes over a new one
+		if (isTimeout && this.#failures === 1) {
+			// The connection may be dead; retry at once over a new one
 			return 0;
 		}
 
-		const pauseMs = Math.min(timing.directoryRetryMostMs, timing.directoryRetryMs * (2 ** Math.min(this.#failures, mostDoublings)));
-		return jitter(random, pauseMs, retrySpread);
+		const pauseMs = Math.min(timing.directoryRetryMostMs, timing.directoryRetryMs * (2 ** Math.min(this.#failures, maxBackoffDoublings)));
+		return jitter(random, pauseMs, retryJitter);
 	}
 
-	#lose(error: unknown, read: string): void {
+	#markUnavailable(error: unknown, read: string): void {
 		const {context: {clock, log, metrics}, endpoints} = this.#parts;
-		this.#isDown = true;
+		this.#isUnavailable = true;
 		endpoints.book.directoryLost();
 		log('directoryLost', {
 			read, revision: this.revision, detail: String(error), at: Math.round(clock.now()),
@@ -346,45 +346,45 @@
 		metrics.set('directory', 0);
 	}
 
-	#back(): void {
+	#markAvailable(): void {
 		const {context: {clock, log, metrics}, endpoints} = this.#parts;
 		metrics.set('directory', 1);
-		if (this.#isDown) {
-			this.#isDown = false;
+		if (this.#isUnavailable) {
+			this.#isUnavailable = false;
 			endpoints.book.directoryBack(clock.now());
 			log('directoryBack', {revision: this.revision, failures: this.#failures});
 		}
 
 		this.#failures = 0;
-		this.#isDoubted = false;
+		this.#isRechecking = false;
 		this.#parts.onRead('answered');
 	}
 
-	/** An answer from before the directory came back was long on its way, or its teller is out of date: it is none. */
-	#refuseOutdated(position: Position): void {
-		if (this.#history.place(position) === 'outdated') {
-			throw new DirectoryError(`an answer of epoch ${String(position.epoch)}, which is over`);
+	/** Rejects a response from before a restore: it was delayed, or comes from an outdated replica. */
+	#rejectOutdated(position: Position): void {
+		if (this.#history.classify(position) === 'outdated') {
+			throw new DirectoryError(`response from outdated epoch ${String(position.epoch)}`);
 		}
 	}
 
-	/** Takes note that the configuration in force was the newest at an instant, where the directory can tell. */
-	#confirmAt(askedAt: number): void {
-		if (this.#history.mayConfirm(this.#parts.context.clock.now())) {
+	/** Confirms the active configuration as of `askedAt`, unless the directory was only just restored. */
+	#recordConfirmation(askedAt: number): void {
+		if (this.#history.canConfirm(this.#parts.context.clock.now())) {
 			this.#parts.routing.confirm(askedAt);
 		}
 	}
 
-	#take(changes: Changes, read: string): void {
-		const isNewHistory = this.#history.place(changes.position) === 'restored';
-		this.follow(changes.position, 'directory');
+	#apply(changes: Changes, read: string): void {
+		const isNewEpoch = this.#history.classify(changes.position) === 'restored';
+		this.followEpoch(changes.position, 'directory');
 		if (read === 'list') {
 			this.#mustList = false;
-			this.#intake.replace(changes);
+			this.#changeApplier.replace(changes);
 		}
 
-		this.#intake.apply(changes);
-		this.hear(changes.position, true);
-		if (changes.changes.length > 0 || isNewHistory) {
+		this.#changeApplier.apply(changes);
+		this.advance(changes.position, true);
+		if (changes.changes.length > 0 || isNewEpoch) {
 			this.#parts.onNews();
 		}
 	}
--- a/packages/relay/src/peer/news-path.test.ts
+++ b/packages/relay/src/peer/config-propagation.test.ts
@@ -1,12 +1,8 @@
 /**
- * Catalogue: how late a configuration is in force at the last host, from the
- * directory's word on, where connections die in silence or the hosts that
- * read the directory are turned away by it; whole fleets of the real modules,
- * on a clock that the test moves. What stands for the network: a message
- * takes 20 ms, a new connection one message more, and nothing passes on a
- * connection once it is silent. The bounds are the operators': a
- * configuration is in force everywhere within 2 s, in the largest fleets 3 s.
- * Prints the table of docs/PLATFORM.md.
+ * Time until a published configuration is active at the last host when
+ * connections die or the directory rejects its readers, in fleets of the real
+ * modules over a simulated network. Requirement: 2 s, in the largest fleets
+ * 3 s. Prints the table in docs/PLATFORM.md.
  */
 import process from 'node:process';
 import {setImmediate} from 'node:timers/promises';
@@ -32,25 +28,25 @@
 import {Metrics} from '../utils/metrics.js';
 import {Fleet} from './fleet.js';
 
-/** Time that a message takes between hosts, in milliseconds: twenty times the way between halls, since a small host works for some milliseconds before it looks. */
+/** Message latency between hosts in milliseconds, including processing at a busy host; a new connection takes twice as long. */
 const transitMs = 20;
-/** Time in which the directory answers, in milliseconds. */
+/** Response time of the directory in milliseconds. */
 const answerMs = 10;
 const stepMs = 5;
-/** Time for a fleet to settle before anything befalls it, in milliseconds, and again behind a first publication, which ends every host's first watch. */
+/** Time for a fleet to settle before a fault, in milliseconds, and again after the first publication, which ends every host's first watch. */
 const settleMs = 1800;
-/** Time after which a host that is missed is suspect everywhere, in milliseconds. */
+/** Time after which an unreachable host is suspected everywhere, in milliseconds. */
 const suspicionMs = 3000;
-/** Time in which hosts find each other again, in milliseconds: three times three ticks for words to hosts thought to be gone. */
-const reunionMs = 6000;
-/** Time after which a fleet that does not agree never will, in milliseconds. */
-const longestMs = 20_000;
+/** Time in which hosts find each other again, in milliseconds: three attempts to contact dead hosts, three heartbeat intervals apart. */
+const rejoinMs = 6000;
+/** Time after which a run counts as failed, in milliseconds. */
+const maxRunMs = 20_000;
 const halls = ['a', 'b', 'c'];
 const metrics = new Metrics(undefined, {});
 
 /** A connection between two hosts. */
 type Connection = {
-	/** Hosts whose words do not pass on it any more. */
+	/** Hosts whose messages are dropped. */
 	readonly silenced: Set<string>;
 	readonly ends: readonly string[];
 };
@@ -63,14 +59,14 @@
 	};
 }
 
-/** Links of one host over the played network. */
-class PlayedLinks {
+/** Links of one host over the simulated network. */
+class SimulatedLinks {
 	readonly #host: string;
 	readonly #listener: LinkListener<RelayMessage>;
-	readonly #network: PlayedNetwork;
+	readonly #network: SimulatedNetwork;
 	readonly #connections = new Map<string, Connection>();
 
-	constructor(host: string, listener: LinkListener<RelayMessage>, network: PlayedNetwork) {
+	constructor(host: string, listener: LinkListener<RelayMessage>, network: SimulatedNetwork) {
 		this.#host = host;
 		this.#listener = listener;
 		this.#network = network;
@@ -88,8 +84,8 @@
 		const connection = known ?? this.#network.open([this.#host, host]);
 		this.#connections.set(host, connection);
 		const isNew = known === undefined;
-		this.#network.carry(connection, this.#host, isNew ? 2 * transitMs : transitMs, () => {
-			this.#network.links.get(host)?.hear(this.#host, message, connection);
+		this.#network.deliver(connection, this.#host, isNew ? 2 * transitMs : transitMs, () => {
+			this.#network.links.get(host)?.receive(this.#host, message, connection);
 		});
 	}
 
@@ -105,17 +101,17 @@
 		this.#network.links.delete(this.#host);
 	}
 
-	/** A connection that a peer has opened serves for answers too. */
-	hear(from: string, message: RelayMessage, connection: Connection): void {
+	/** Receives a message; responses use the connection on which it arrived. */
+	receive(from: string, message: RelayMessage, connection: Connection): void {
 		this.#connections.set(from, connection);
 		this.#listener.onMessage({host: from, incarnation: 1}, message);
 	}
 }
 
-/** What hosts speak over. */
-class PlayedNetwork {
-	readonly links = new Map<string, PlayedLinks>();
-	/** Messages so far, by kind. */
+/** Network between the hosts. */
+class SimulatedNetwork {
+	readonly links = new Map<string, SimulatedLinks>();
+	/** Number of messages sent so far, by kind. */
 	readonly counts = new Map<RelayMessage['kind'], number>();
 	readonly #clock: ManualClock;
 	#open: Connection[] = [];
@@ -130,7 +126,7 @@
 		return connection;
 	}
 
-	carry(connection: Connection, from: string, afterMs: number, arrive: () => void): void {
+	deliver(connection: Connection, from: string, afterMs: number, arrive: () => void): void {
 		this.#clock.after(afterMs, () => {
 			if (!connection.silenced.has(from)) {
 				arrive();
@@ -138,8 +134,8 @@
 		});
 	}
 
-	/** Nothing passes any more on some of the connections that are open now, or nothing one way. */
-	silence(share: number, random: Random, isOneWay = false): void {
+	/** Drops all further traffic, in one or both directions, on a random share of the open connections. */
+	dropTraffic(share: number, random: Random, isOneWay = false): void {
 		for (const {silenced, ends} of this.#open) {
 			if (random.next() < share) {
 				const one = ends[Math.floor(2 * random.next())] ?? '';
@@ -153,7 +149,7 @@
 	}
 }
 
-/** How the directory turns a host away; `none`: it does not. */
+/** How the directory rejects a host's calls; `none`: it accepts them. */
 type Refusal = 'none' | 'busy' | 'silent' | 'reset';
 
 type Call = {
@@ -163,8 +159,8 @@
 	readonly reject: (error: Error) => void;
 };
 
-/** A directory of one item, the configuration. */
-class PlayedDirectory {
+/** Directory with one item, the configuration. */
+class SimulatedDirectory {
 	version = 1;
 	calls = 0;
 	readonly refusals = new Map<string, Refusal>();
@@ -175,8 +171,8 @@
 		this.#clock = clock;
 	}
 
-	/** The directory as one host reaches it. */
-	pathOf(host: string): Directory {
+	/** Client of the directory for one host. */
+	clientFor(host: string): Directory {
 		const list = async (signal: AbortSignal) => this.#call(host, signal, -1, 0);
 		return {
 			list,
@@ -198,12 +194,12 @@
 		this.#waiting.clear();
 	}
 
-	/** Calls that wait hear nothing more. */
-	silenceOpen(): void {
+	/** Pending calls never get a response. */
+	dropPendingCalls(): void {
 		this.#waiting = new Set();
 	}
 
-	turnAway(host: string, refusal: Refusal): void {
+	reject(host: string, refusal: Refusal): void {
 		this.refusals.set(host, refusal);
 		for (const call of this.#waiting) {
 			if (call.host === host) {
@@ -221,7 +217,7 @@
 			};
 			signal.addEventListener('abort', () => {
 				this.#waiting.delete(call);
-				reject(new DirectoryError('ended'));
+				reject(new DirectoryError('aborted'));
 			}, {once: true});
 			const refusal = this.refusals.get(host) ?? 'none';
 			if (refusal !== 'none') {
@@ -266,11 +262,11 @@
 	readonly watch: DirectoryWatch;
 };
 
-/** A whole fleet. */
-class PlayedFleet {
+/** Fleet of simulated hosts. */
+class SimulatedFleet {
 	readonly clock = new ManualClock();
-	readonly network = new PlayedNetwork(this.clock);
-	readonly directory = new PlayedDirectory(this.clock);
+	readonly network = new SimulatedNetwork(this.clock);
+	readonly directory = new SimulatedDirectory(this.clock);
 	readonly hosts: Host[] = [];
 	readonly random: Random;
 
@@ -288,7 +284,7 @@
 		}
 	}
 
-	/** Starts all hosts within one tick and lets them settle. */
+	/** Starts all hosts within one heartbeat interval and lets them settle. */
 	async start(): Promise<void> {
 		for (const {fleet, watch} of this.hosts) {
 			this.clock.after(this.random.next() * 700, () => {
@@ -297,13 +293,13 @@
 			});
 		}
 
-		await this.play(settleMs, () => false);
+		await this.run(settleMs, () => false);
 		this.directory.publish();
-		await this.play(settleMs, () => false);
+		await this.run(settleMs, () => false);
 	}
 
-	/** Plays until something is so; returns the time that took. */
-	async play(mostMs: number, isSo: () => boolean): Promise<number> {
+	/** Runs until a condition holds, at most `mostMs`; returns the elapsed time in milliseconds. */
+	async run(mostMs: number, isSo: () => boolean): Promise<number> {
 		const startedAt = this.clock.now();
 		while (!isSo() && this.clock.now() - startedAt < mostMs) {
 			this.clock.advance(stepMs);
@@ -313,13 +309,13 @@
 		return this.clock.now() - startedAt;
 	}
 
-	/** Publishes, and returns how long it took until the configuration was in force everywhere. */
+	/** Publishes a configuration; returns the time until it is active at all hosts, in milliseconds. */
 	async publish(): Promise<number> {
 		this.directory.publish();
-		return this.play(longestMs, () => this.hosts.every(({routing}) => routing.version === this.directory.version));
+		return this.run(maxRunMs, () => this.hosts.every(({routing}) => routing.version === this.directory.version));
 	}
 
-	/** Whether every host thinks that all are alive. */
+	/** Whether every host considers all hosts alive. */
 	get isWhole(): boolean {
 		return this.hosts.every(({fleet}) => fleet.membership.members.list().filter(({state}) => state === 'alive').length === this.hosts.length);
 	}
@@ -340,7 +336,7 @@
 		});
 		const {clock, network} = this;
 		const context = makeRelayContext({
-			settings, clock, random: seedRandom((1000 * seed) + index), log: ignore, metrics, dialect, directory: this.directory.pathOf(name), wall: () => clock.now(),
+			settings, clock, random: seedRandom((1000 * seed) + index), log: ignore, metrics, dialect, directory: this.directory.clientFor(name), wall: () => clock.now(),
 		});
 		const endpoints = new Endpoints(context, {
 			onPause: ignore, onLimit: ignore, onDrain: ignore, onRoom: ignore, onGone: ignore, subset: () => wholeFleet,
@@ -350,7 +346,7 @@
 			context, hasEnded: async () => false, tell: ignore, isTrialHost: () => false,
 		});
 		const fleet: Fleet = new Fleet({
-			context, guard, endpoints, routing, watch: () => watch, measureLoad: () => 0, makeLinks: listener => new PlayedLinks(name, listener, network),
+			context, guard, endpoints, routing, watch: () => watch, measureLoad: () => 0, makeLinks: listener => new SimulatedLinks(name, listener, network),
 		});
 		fleet.membership.members.updateSelf({peerAddress: name});
 		const watch = new DirectoryWatch({
@@ -372,33 +368,33 @@
 	}
 }
 
-/** Nothing is said to callers or endpoints here. */
+/** Stands in for protocol methods, since the simulation sends no requests. */
 function unused(): never {
-	throw new RangeError('No request is played.');
+	throw new RangeError('The simulation sends no requests to endpoints.');
 }
 
 const dialect: Dialect = {
 	readyPath: '', lookupPath: '', readRequest: unused, readKeyDigest: unused, isIdentity: unused, isPassed: unused, sendHeaders: unused, readAnswer: unused, reserve: unused, readReservation: unused, cancelReservation: unused, readPrefill: unused, freeResult: unused, orderStage: unused, readLookup: unused, writeLookup: unused,
 };
 
-/** What befalls a fleet in the moment before a configuration is published. */
-type Harm = (fleet: PlayedFleet) => void;
+/** Fault injected just before a configuration is published. */
+type InjectFault = (fleet: SimulatedFleet) => void;
 
-function silenceConnections(share: number): Harm {
+function dropConnections(share: number): InjectFault {
 	return ({network, directory, random}) => {
-		network.silence(share, random);
-		directory.silenceOpen();
+		network.dropTraffic(share, random);
+		directory.dropPendingCalls();
 	};
 }
 
-/** Of all hosts one in ten can read the directory, and none of those that read it now. */
-function turnReadersAway(refusal: Refusal): Harm {
+/** Rejects all readers and most other hosts, so that about one host in ten can read the directory. */
+function rejectReaders(refusal: Refusal): InjectFault {
 	return ({hosts, directory}) => {
 		const others = hosts.filter(({fleet}) => !fleet.isReader());
 		const able = new Set(others.filter((_, index) => index % 10 === 3).map(({name}) => name));
 		for (const {name} of hosts) {
 			if (!able.has(name)) {
-				directory.turnAway(name, refusal);
+				directory.reject(name, refusal);
 			}
 		}
 	};
@@ -407,57 +403,57 @@
 type Case = {
 	readonly name: string;
 	readonly sizes: readonly number[];
-	readonly harm: Harm;
+	readonly harm: InjectFault;
 };
 
-/** Time by which the last host has the configuration, in milliseconds. */
-function boundOf(size: number): number {
+/** Maximum time until the configuration is active at the last host, in milliseconds. */
+function maxPropagationMs(size: number): number {
 	return size > 100 ? 3000 : 2000;
 }
 
 const cases: readonly Case[] = [
-	{name: 'nothing else befalls the fleet', sizes: [4, 16, 60, 90, 300], harm: ignore},
-	{name: 'all open connections fall silent', sizes: [4, 16, 60, 90, 300], harm: silenceConnections(1)},
-	{name: 'half of them do, and all to the directory', sizes: [16, 90], harm: silenceConnections(0.5)},
-	{name: 'nine in ten hosts, all readers among them, hear 503 from the directory', sizes: [16, 60, 90, 300], harm: turnReadersAway('busy')},
-	{name: 'they hear nothing', sizes: [16, 60, 90, 300], harm: turnReadersAway('silent')},
-	{name: 'they are reset', sizes: [16, 60, 90, 300], harm: turnReadersAway('reset')},
+	{name: 'no fault', sizes: [4, 16, 60, 90, 300], harm: ignore},
+	{name: 'all open connections die', sizes: [4, 16, 60, 90, 300], harm: dropConnections(1)},
+	{name: 'half of the connections between hosts die, and all to the directory', sizes: [16, 90], harm: dropConnections(0.5)},
+	{name: 'nine in ten hosts, including all readers, get status 503 from the directory', sizes: [16, 60, 90, 300], harm: rejectReaders('busy')},
+	{name: 'nine in ten hosts, including all readers, get no response', sizes: [16, 60, 90, 300], harm: rejectReaders('silent')},
+	{name: 'nine in ten hosts, including all readers, get connection resets', sizes: [16, 60, 90, 300], harm: rejectReaders('reset')},
 ];
 
-/** Moments of the fault against ticks and watches. */
+/** Seeds, which also vary the time of the fault relative to heartbeats and watches. */
 const seeds = [1, 2, 3];
 
-describe('the way of a configuration', () => {
+describe('propagation of a configuration', () => {
 	for (const {name, sizes, harm} of cases) {
 		for (const size of sizes) {
 			it(`${name}: ${size} hosts`, async () => {
 				const times: number[] = [];
 				let divided = 0;
 				for (const seed of size > 100 ? seeds.slice(0, 1) : seeds) {
-					const fleet = new PlayedFleet(size, seed);
+					const fleet = new SimulatedFleet(size, seed);
 					await fleet.start();
-					await fleet.play(seed * 230, () => false);
+					await fleet.run(seed * 230, () => false);
 					harm(fleet);
 					times.push(await fleet.publish());
-					await fleet.play(suspicionMs, () => false);
-					await fleet.play(reunionMs, () => fleet.isWhole);
+					await fleet.run(suspicionMs, () => false);
+					await fleet.run(rejoinMs, () => fleet.isWhole);
 					divided += fleet.isWhole ? 0 : 1;
 					fleet.close();
 				}
 
 				console.log(`${name}, ${size} hosts: ${times.join(', ')} ms`);
-				expect({late: times.filter(time => time > boundOf(size)), divided}).toEqual({late: [], divided: 0});
+				expect({late: times.filter(time => time > maxPropagationMs(size)), divided}).toEqual({late: [], divided: 0});
 			});
 		}
 	}
 });
 
-/** One fault of a generated fleet. */
+/** Generated fault. */
 type Fault = {
 	readonly share: number;
 	readonly isOneWay: boolean;
 	readonly isDirectoryToo: boolean;
-	/** Time before it, in milliseconds. */
+	/** Time since the previous fault, in milliseconds. */
 	readonly gapMs: number;
 };
 
@@ -465,76 +461,76 @@
 	share: fc.constantFrom(0.1, 0.5, 0.9, 1), isOneWay: fc.boolean(), isDirectoryToo: fc.boolean(), gapMs: fc.integer({min: 0, max: 2500}),
 });
 
-describe('the way of a configuration in generated fleets', () => {
-	it('any set of connections falls silent, one way or both, again within seconds', async () => {
+describe('propagation of a configuration under generated faults', () => {
+	it('any share of connections dies in one or both directions, repeatedly within seconds', async () => {
 		await fc.assert(fc.asyncProperty(fc.constantFrom(2, 5, 13, 24), fc.integer({min: 1, max: 1000}), fc.array(fault, {minLength: 1, maxLength: 3}), async (size, seed, faults) => {
-			const fleet = new PlayedFleet(size, seed);
+			const fleet = new SimulatedFleet(size, seed);
 			await fleet.start();
 			const times: number[] = [];
 			for (const {share, isOneWay, isDirectoryToo, gapMs} of faults) {
-				await fleet.play(gapMs, () => false);
-				fleet.network.silence(share, fleet.random, isOneWay);
+				await fleet.run(gapMs, () => false);
+				fleet.network.dropTraffic(share, fleet.random, isOneWay);
 				if (isDirectoryToo) {
-					fleet.directory.silenceOpen();
+					fleet.directory.dropPendingCalls();
 				}
 
 				times.push(await fleet.publish());
 			}
 
 			fleet.close();
-			expect(times.filter(time => time > boundOf(size))).toEqual([]);
+			expect(times.filter(time => time > maxPropagationMs(size))).toEqual([]);
 		}), {seed: 77, numRuns: Number(process.env.NEWS_PATH_RUNS ?? 25)});
 	});
 });
 
-/** Time for which the directory is away, in milliseconds: the longest that operators plan for. */
+/** Duration of the outage in milliseconds: the longest that operators plan for. */
 const awayMs = 9000;
-/** Calls that a directory which is away may cost, besides those of its readers: each host looks once. */
-const mostLooks = 1;
-/** Calls that its readers make meanwhile, each: one a second, and the first ones closer together. */
-const mostReaderCalls = 16;
-const readers = 3;
+/** Maximum calls during an outage for each host that is not a reader. */
+const maxCallsPerHost = 1;
+/** Maximum calls during an outage for each reader: one a second, with the first ones closer together. */
+const maxCallsPerReader = 16;
+const readerCount = 3;
 
-describe('a directory that is away for all', () => {
+describe('a directory unavailable to all hosts', () => {
 	for (const refusal of ['busy', 'silent', 'reset'] as const) {
-		it(`(${refusal}) is asked once by each host besides its readers, and by its readers alone when it is back`, async () => {
-			const fleet = new PlayedFleet(60, 1);
+		it(`(${refusal}) is called once by each other host, and only by its readers after recovery`, async () => {
+			const fleet = new SimulatedFleet(60, 1);
 			await fleet.start();
 			for (const {name} of fleet.hosts) {
-				fleet.directory.turnAway(name, refusal);
+				fleet.directory.reject(name, refusal);
 			}
 
 			const {calls} = fleet.directory;
-			await fleet.play(awayMs, () => false);
+			await fleet.run(awayMs, () => false);
 			const asked = fleet.directory.calls - calls;
 			fleet.directory.refusals.clear();
-			await fleet.play(awayMs, () => false);
+			await fleet.run(awayMs, () => false);
 			const readingNow = fleet.hosts.filter(each => each.fleet.isReader()).length;
 			const tookMs = await fleet.publish();
 			fleet.close();
 			console.log(`away (${refusal}): ${asked} calls in ${awayMs} ms at 60 hosts, then ${readingNow} readers`);
-			expect({isBounded: asked <= (60 * mostLooks) + (readers * mostReaderCalls), readingNow, isInTime: tookMs <= boundOf(60)}).toEqual({isBounded: true, readingNow: readers, isInTime: true});
+			expect({isBounded: asked <= (60 * maxCallsPerHost) + (readerCount * maxCallsPerReader), readingNow, isInTime: tookMs <= maxPropagationMs(60)}).toEqual({isBounded: true, readingNow: readerCount, isInTime: true});
 		});
 	}
 });
 
-/** Time for which unknown routes are asked for, in milliseconds, and the gap between two at one host: 500 a second. */
+/** Duration of the scan for unknown routes, and the interval between requests at one host (500 a second), in milliseconds. */
 const scanMs = 2000;
 const scanGapMs = 2;
-/** Time within which a request that is really wrong hears so on a calm day, in milliseconds. */
+/** Time within which a request for an unknown route is refused without faults, in milliseconds. */
 const promptMs = 100;
-/** Most calls a second that readers make for it: each confirms once in the time for which it gives an answer away. */
-const mostScanCalls = 10;
-/** Most questions a second of one host: each answer serves for a third of a second at the least. */
-const mostQuestions = 4;
+/** Maximum calls to the directory a second: each reader confirms once per validity period of its responses. */
+const maxConfirmCalls = 10;
+/** Maximum evidence requests a second of one host: each response is valid for at least a third of a second. */
+const maxFreshnessRequests = 4;
 
 describe('evidence for refusals', () => {
-	it('costs the same however many unknown routes are asked for, and is there at once', async () => {
-		const fleet = new PlayedFleet(60, 1);
+	it('is available at once, at a cost that does not grow with the number of unknown routes', async () => {
+		const fleet = new SimulatedFleet(60, 1);
 		await fleet.start();
 		const {directory, network: {counts}, hosts, clock} = fleet;
 		const before = directory.calls;
-		await fleet.play(scanMs, () => false);
+		await fleet.run(scanMs, () => false);
 		const idleCalls = directory.calls - before;
 		const asked = counts.get('freshnessWanted') ?? 0;
 		const waits: number[] = [];
@@ -555,7 +551,7 @@
 			}
 		}
 
-		await fleet.play(scanMs + promptMs, () => false);
+		await fleet.run(scanMs + promptMs, () => false);
 		const seconds = (clock.now() - startedAt) / 1000;
 		const calls = Math.round((directory.calls - before - (2 * idleCalls)) / seconds);
 		const questions = ((counts.get('freshnessWanted') ?? 0) - asked) / seconds / hosts.length;
@@ -563,7 +559,7 @@
 		const late = waits.filter(wait => wait > promptMs).length;
 		console.log(`unknown routes, 500 a second at each of 60 hosts: ${calls} calls to the directory a second besides ${idleCalls / scanMs * 1000}, ${questions.toFixed(1)} questions a second of a host, ${late} of ${waits.length} later than ${promptMs} ms`);
 		expect({
-			unproven, late: late <= waits.length / 100, calls: calls <= mostScanCalls, questions: questions <= mostQuestions,
+			unproven, late: late <= waits.length / 100, calls: calls <= maxConfirmCalls, questions: questions <= maxFreshnessRequests,
 		}).toEqual({
 			unproven: 0, late: true, calls: true, questions: true,
 		});
--- a/packages/relay/src/peer/directory-news.test.ts
+++ b/packages/relay/src/peer/directory-sync.test.ts
@@ -1,11 +1,8 @@
 /**
- * Catalogue: how late news of a leaving endpoint may be, from the host that
- * reads the directory to the last one that hears of it, on a clock that the
- * test moves. Each hop takes its longest: one reader alone is left, each host
- * has just put a question as the news comes, and every message takes as long
- * as at a busy small host. The bound is the operators': no request to an
- * endpoint later than 2 s (fleets up to 12 hosts) or 3 s after it has said
- * that it leaves. Prints the table of docs/PLATFORM.md.
+ * Worst-case time until the last host learns that an endpoint is leaving, from
+ * a single reader. Requirement: no request to an endpoint later than 2 s
+ * (fleets of up to 12 hosts) or 3 s after it announced that it leaves. Prints
+ * the table in docs/PLATFORM.md.
  */
 import {describe, it} from 'node:test';
 import {Members} from '@gatehead/policy/core/members';
@@ -23,26 +20,26 @@
 import {RoutingState} from '../core/routing-state.js';
 import {Endpoints} from '../upstream/endpoints.js';
 import {Metrics} from '../utils/metrics.js';
-import {askAgainMs, DirectoryNews} from './directory-news.js';
+import {requestIntervalMs, DirectorySync} from './directory-sync.js';
 
-/** Time that a message takes between hosts, in milliseconds: twenty times the way between halls, since a small host works for some milliseconds before it looks. */
+/** Message latency between hosts in milliseconds, including processing at a busy host. */
 const transitMs = 20;
 const tickMs = 700;
 const stepMs = 5;
-/** Times between two pieces of news, in milliseconds: the second one finds hosts that have just put a question, at one hop or another. */
+/** Intervals between two changes, in milliseconds, such that the second reaches some host just after it sent a request. */
 const gapsMs = Array.from({length: 18}, (_, index) => index * 15);
-const longestMs = 10_000;
+const maxRunMs = 10_000;
 const halls = ['a', 'b', 'c'];
-const names = ['leaves-first', 'leaves-second'];
+const endpointIds = ['leaves-first', 'leaves-second'];
 
 type Message = RelayMessage | {readonly kind: 'tick'};
 
-/** One host of the played fleet: its real news, book and position; the rest is left out. */
+/** One simulated host, with the real directory sync, endpoint book and position. */
 type Node = {
 	readonly host: string;
 	readonly endpoints: Endpoints;
 	readonly watch: DirectoryWatch;
-	readonly news: DirectoryNews;
+	readonly news: DirectorySync;
 	peers: string[];
 };
 
@@ -58,8 +55,8 @@
 	};
 }
 
-/** A fleet in which messages take their time; a host that is lost hears and says nothing. */
-class PlayedFleet {
+/** Fleet with message latency; lost hosts neither send nor receive. */
+class SimulatedFleet {
 	readonly clock = new ManualClock();
 	readonly nodes = new Map<string, Node>();
 	readonly lost = new Set<string>();
@@ -83,26 +80,26 @@
 		}
 	}
 
-	/** Lets one host read something, as from the directory. */
-	read(host: string, position: Position, endpoint: Endpoint): void {
+	/** Simulates a change that one host reads from the directory. */
+	readFromDirectory(host: string, position: Position, endpoint: Endpoint): void {
 		const node = this.nodes.get(host);
-		node?.watch.follow(position, 'directory');
+		node?.watch.followEpoch(position, 'directory');
 		node?.endpoints.book.put({...position, endpoint}, this.clock.now());
-		node?.watch.hear(position, true);
+		node?.watch.advance(position, true);
 		this.announce(host);
 	}
 
 	announce(host: string): void {
 		for (const peer of this.nodes.get(host)?.peers ?? []) {
-			this.#send(host, peer, this.#beatOf(host));
+			this.#send(host, peer, this.#heartbeatOf(host));
 		}
 	}
 
-	/** Plays until something is so at all hosts that are not lost; returns the time that took. */
-	playUntil(isSo: (node: Node) => boolean): number {
+	/** Runs until a condition holds at all hosts that are not lost; returns the elapsed time in milliseconds. */
+	runUntil(isSo: (node: Node) => boolean): number {
 		const startedAt = this.clock.now();
 		const isDone = () => [...this.nodes.values()].every(node => this.lost.has(node.host) || isSo(node));
-		for (let at = 0; at < longestMs && !isDone(); at += stepMs) {
+		for (let at = 0; at < maxRunMs && !isDone(); at += stepMs) {
 			if (at % tickMs === 0 && at > 0) {
 				for (const host of this.nodes.keys()) {
 					this.announce(host);
@@ -138,7 +135,7 @@
 			},
 			endpoints, routing, isReader: () => false, isShortWatcher: () => false, onRead: ignore, onNews: ignore,
 		});
-		const news = new DirectoryNews({
+		const news = new DirectorySync({
 			context,
 			endpoints,
 			routing,
@@ -156,7 +153,7 @@
 		};
 	}
 
-	#beatOf(host: string): RelayMessageOf<'heartbeat'> {
+	#heartbeatOf(host: string): RelayMessageOf<'heartbeat'> {
 		const node = this.nodes.get(host);
 		return {
 			kind: 'heartbeat', isAnswer: false, news: [], clock: '', routingVersion: 0, directoryRevision: node?.watch.revision ?? -1, directoryEpoch: node?.watch.position?.epoch, departures: node?.endpoints.book.listDepartures(this.clock.now()) ?? [], pauses: [], heldContents: [], draining: [],
@@ -176,13 +173,13 @@
 
 			const hear: Partial<Record<Message['kind'], () => void>> = {
 				heartbeat() {
-					news.compare(from, message as RelayMessageOf<'heartbeat'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
+					news.receiveHeartbeat(from, message as RelayMessageOf<'heartbeat'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
 				},
 				directoryWanted() {
-					news.give(from, message as RelayMessageOf<'directoryWanted'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
+					news.sendUpdate(from, message as RelayMessageOf<'directoryWanted'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
 				},
 				directory() {
-					news.take(from, message as RelayMessageOf<'directory'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
+					news.applyUpdate(from, message as RelayMessageOf<'directory'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
 				},
 			};
 			hear[message.kind]?.();
@@ -193,74 +190,74 @@
 type Case = {
 	readonly name: string;
 	readonly hosts: number;
-	/** Part of the hosts that are lost in the moment at which the news comes. */
+	/** Share of the hosts that are lost just after the change is read. */
 	readonly lostShare: number;
-	/** Time by which the last host knows, in milliseconds: what the operators' bound of 3 s leaves behind a neighbour that begins to read when the readers are lost (1.7 s); small fleets all read, and a host whose own watch is silent hears in a third of their 2 s. */
-	readonly byMs: number;
+	/** Maximum time until the last host knows, in milliseconds: in large fleets the required 3 s minus 1.7 s for a neighbour to take over from lost readers; in small fleets, where every host reads, a third of the required 2 s. */
+	readonly maxMs: number;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'a small fleet', hosts: 8, lostShare: 0, byMs: 600,
+		name: 'a small fleet', hosts: 8, lostShare: 0, maxMs: 600,
 	},
 	{
-		name: 'ninety hosts', hosts: 90, lostShare: 0, byMs: 1300,
+		name: 'ninety hosts', hosts: 90, lostShare: 0, maxMs: 1300,
 	},
 	{
-		name: 'three hundred', hosts: 300, lostShare: 0, byMs: 1300,
+		name: 'three hundred hosts', hosts: 300, lostShare: 0, maxMs: 1300,
 	},
 	{
-		name: 'ninety, a sixth of them lost with the news on its way', hosts: 90, lostShare: 1 / 6, byMs: 1300,
+		name: 'ninety hosts, a sixth of them lost during propagation', hosts: 90, lostShare: 1 / 6, maxMs: 1300,
 	},
 	{
-		name: 'three hundred, a sixth lost', hosts: 300, lostShare: 1 / 6, byMs: 1300,
+		name: 'three hundred hosts, a sixth of them lost', hosts: 300, lostShare: 1 / 6, maxMs: 1300,
 	},
 ];
 
-/** Two pieces of news, one soon behind the other; returns how long the second took to the last host. */
-function playNews(hosts: number, lostShare: number, gapMs: number): number {
-	const fleet = new PlayedFleet(hosts);
+/** Publishes two changes in short succession; returns the time until the second reached the last host, in milliseconds. */
+function measurePropagation(hosts: number, lostShare: number, gapMs: number): number {
+	const fleet = new SimulatedFleet(hosts);
 	for (const {endpoints, watch} of fleet.nodes.values()) {
-		for (const [index, id] of names.entries()) {
+		for (const [index, id] of endpointIds.entries()) {
 			endpoints.book.put({epoch: 1, revision: index + 1, endpoint: makeEndpoint(id, 'ready')}, 0);
 		}
 
-		watch.hear({epoch: 1, revision: names.length}, true);
+		watch.advance({epoch: 1, revision: endpointIds.length}, true);
 	}
 
-	fleet.read('host-0', {epoch: 1, revision: 10}, makeEndpoint('leaves-first', 'leaving'));
+	fleet.readFromDirectory('host-0', {epoch: 1, revision: 10}, makeEndpoint('leaves-first', 'leaving'));
 	fleet.clock.advance(gapMs);
-	fleet.read('host-0', {epoch: 1, revision: 11}, makeEndpoint('leaves-second', 'leaving'));
+	fleet.readFromDirectory('host-0', {epoch: 1, revision: 11}, makeEndpoint('leaves-second', 'leaving'));
 	for (let index = 1; index < hosts * lostShare; index += 1) {
 		fleet.lost.add(`host-${(index * 5) % hosts}`);
 	}
 
-	return fleet.playUntil(({endpoints}) => !endpoints.book.isReady('leaves-second'));
+	return fleet.runUntil(({endpoints}) => !endpoints.book.isReady('leaves-second'));
 }
 
-describe('the way of news through the fleet', () => {
-	for (const {name, hosts, lostShare, byMs} of cases) {
-		it(`${name}: the last host knows in time`, () => {
-			const tookMs = Math.max(...gapsMs.map(gapMs => playNews(hosts, lostShare, gapMs)));
-			console.log(`${hosts} hosts, ${Math.ceil(hosts * lostShare)} lost: ${tookMs} ms to the last host, questions ${askAgainMs} ms apart, ${transitMs} ms a message`);
-			expect(tookMs <= byMs).toEqual(true);
+describe('propagation of endpoint changes', () => {
+	for (const {name, hosts, lostShare, maxMs} of cases) {
+		it(`${name}: the last host learns of the change in time`, () => {
+			const tookMs = Math.max(...gapsMs.map(gapMs => measurePropagation(hosts, lostShare, gapMs)));
+			console.log(`${hosts} hosts, ${Math.ceil(hosts * lostShare)} lost: ${tookMs} ms to the last host, questions ${requestIntervalMs} ms apart, ${transitMs} ms a message`);
+			expect(tookMs <= maxMs).toEqual(true);
 		});
 	}
 
-	it('a directory that is back from a copy: all follow its new history, and what left stays left', () => {
-		const fleet = new PlayedFleet(90);
+	it('after a restore of the directory all hosts follow the new epoch, and endpoints that left stay removed', () => {
+		const fleet = new SimulatedFleet(90);
 		for (const {endpoints, watch} of fleet.nodes.values()) {
 			endpoints.book.put({epoch: 1, revision: 50, endpoint: makeEndpoint('leaves-first', 'leaving')}, 0);
 			endpoints.book.put({epoch: 1, revision: 3, endpoint: makeEndpoint('leaves-second', 'ready')}, 0);
-			watch.hear({epoch: 1, revision: 60}, true);
+			watch.advance({epoch: 1, revision: 60}, true);
 		}
 
-		// A host that has just started knows the copy alone
+		// A host that has just started only knows the restored state
 		const started = fleet.nodes.get('host-7');
 		started?.endpoints.book.drop('leaves-first', 0);
-		fleet.read('host-0', {epoch: 2, revision: 40}, makeEndpoint('leaves-first', 'ready'));
-		fleet.read('host-0', {epoch: 2, revision: 41}, makeEndpoint('leaves-second', 'leaving'));
-		fleet.playUntil(({endpoints, watch}) => watch.position?.epoch === 2 && !endpoints.book.isReady('leaves-first') && !endpoints.book.isReady('leaves-second'));
+		fleet.readFromDirectory('host-0', {epoch: 2, revision: 40}, makeEndpoint('leaves-first', 'ready'));
+		fleet.readFromDirectory('host-0', {epoch: 2, revision: 41}, makeEndpoint('leaves-second', 'leaving'));
+		fleet.runUntil(({endpoints, watch}) => watch.position?.epoch === 2 && !endpoints.book.isReady('leaves-first') && !endpoints.book.isReady('leaves-second'));
 		const views = [...fleet.nodes.values()].map(({endpoints, watch}) => `${watch.position?.epoch} ${endpoints.book.isReady('leaves-first')} ${endpoints.book.isReady('leaves-second')}`);
 		expect([...new Set(views)]).toEqual(['2 false false']);
 	});
--- a/packages/relay/src/peer/fleet-parts.ts
+++ b/packages/relay/src/peer/fleet-parts.ts
@@ -1,4 +1,3 @@
-/** What a host's view of the fleet, and its news of the directory, are made from. Neither safety nor efficiency rests here. */
 import {type LinkListener, type PeerLinks} from '@gatehead/host/peer/peer-links';
 import {type RelayMessage} from '@gatehead/schema/relay-message';
 import {type RelayContext} from '../core/context.js';
@@ -7,10 +6,10 @@
 import {type CrashGuard} from '../upstream/crash-guard.js';
 import {type Endpoints} from '../upstream/endpoints.js';
 
-/** How a host speaks to others. */
+/** Transport to the other hosts. */
 export type HostLinks = Pick<PeerLinks<RelayMessage>, 'listen' | 'send' | 'greet' | 'renew' | 'close'>;
 
-/** What the fleet works with. */
+/** Dependencies of `Fleet`. */
 export type FleetParts = {
 	readonly context: RelayContext;
 	readonly endpoints: Endpoints;
@@ -18,6 +17,6 @@
 	readonly routing: RoutingState;
 	readonly watch: () => DirectoryWatch;
 	readonly measureLoad: () => number;
-	/** Makes the links to other hosts; absent: gRPC streams. */
+	/** Creates the transport; defaults to gRPC streams. */
 	readonly makeLinks?: (listener: LinkListener<RelayMessage>) => HostLinks;
 };
--- a/packages/relay/src/peer/fleet.ts
+++ b/packages/relay/src/peer/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * The other hosts: membership over gRPC links, and what hosts tell each
- * other: the newest configuration, endpoints where the directory is away,
- * endpoints that fail. Efficiency: a host that stands alone serves as well.
+ * Communication with the other hosts: membership over gRPC links, and
+ * dispatch of messages about the configuration, endpoints, load, quotas and
+ * rate limits. A host without peers keeps serving requests.
  */
 import {Membership, type Voice} from '@gatehead/host/peer/membership';
 import {PeerLinks} from '@gatehead/host/peer/peer-links';
@@ -20,48 +20,47 @@
 import {WorkspaceQuotas} from '../access/workspace-quotas.js';
 import {type RelayContext} from '../core/context.js';
 import {RateLimiter} from '../upstream/rate-limiter.js';
-import {DirectoryNews} from './directory-news.js';
+import {DirectorySync} from './directory-sync.js';
 import {type FleetParts, type HostLinks} from './fleet-parts.js';
-import {Greetings} from './greetings.js';
+import {SeedContact} from './seed-contact.js';
 import {KnownHosts} from './known-hosts.js';
 import {LoadNews} from './load-news.js';
 import {WatcherFailover} from './watcher-failover.js';
 
-/** Pause before news of hosts is passed on, in milliseconds: news that come together go together. */
-const passOnMs = 100;
+/** Delay before membership changes are announced, in milliseconds, to batch them. */
+const announceDelayMs = 100;
 
-/** Silence of a reader after which its neighbours read as well, in milliseconds: a heartbeat that was lost, and half a tick. A second before it is suspect, which leaves the bound on leaving endpoints room for the rest of the way. */
-const standInMs = 1200;
+/** Silence of a directory reader after which its neighbours read as well, in milliseconds: one lost heartbeat plus half an interval, and well before the reader is suspected. */
+const readerSilenceMs = 1200;
 
-type Hearer<Kind extends RelayMessage['kind']> = (from: Owner, message: RelayMessageOf<Kind>) => void;
-type Hearers = {readonly [Kind in RelayMessage['kind']]: Hearer<Kind>};
+type MessageHandler<Kind extends RelayMessage['kind']> = (from: Owner, message: RelayMessageOf<Kind>) => void;
+type MessageHandlers = {readonly [Kind in RelayMessage['kind']]: MessageHandler<Kind>};
 
-/** The fleet as one host knows it. */
+/** One host's view of the fleet. */
 export class Fleet {
 	readonly membership: Membership;
-	/** What is said of each request among hosts that share endpoints. */
+	/** Gossip about load among hosts that share endpoints. */
 	readonly load: LoadNews;
-	/** How fresh this host's list of keys is. */
+	/** Evidence that this host's configuration, with its list of keys, is up to date. */
 	readonly freshness: Freshness;
-	/** Whether this host watches the directory in place of watchers that cannot. */
+	/** Failover of the directory watcher role. */
 	readonly watcherFailover: WatcherFailover;
-	/** Quotas that all hosts share. */
+	/** Quotas shared by all hosts. */
 	readonly quotas: WorkspaceQuotas;
-	/** Rate limits of endpoints, kept over all hosts. */
+	/** Rate limits of endpoints, shared by all hosts. */
 	readonly limiter: RateLimiter;
-	/** When a host came, went, or was suspected last. */
+	/** Time of the last membership change. */
 	changedAt: number;
-	/** Whether another host was the first by rank in this process's life. */
+	/** Whether another host was the coordinator at any time since this process started. */
 	hasFollowed = false;
 	readonly #parts: FleetParts;
 	readonly #links: HostLinks;
-	readonly #greetings: Greetings;
-	#passTimer: Timer | undefined;
-	#known = '';
-	readonly #news: DirectoryNews;
-	readonly #hosts: KnownHosts;
-	/** What is done with each kind of message. */
-	readonly #hearers: Hearers = {
+	readonly #seedContact: SeedContact;
+	#announceTimer: Timer | undefined;
+	#knownStates = '';
+	readonly #directorySync: DirectorySync;
+	readonly #knownHosts: KnownHosts;
+	readonly #handlers: MessageHandlers = {
 		hello: (_from, {record}) => {
 			this.membership.hello(record);
 		},
@@ -73,13 +72,13 @@
 			this.membership.heartbeat(from, message);
 			this.#parts.guard.hear(message.heldContents);
 			this.#parts.endpoints.receiveDrains(message.draining, from.host);
-			this.#news.compare(from.host, message);
+			this.#directorySync.receiveHeartbeat(from.host, message);
 		},
 		directoryWanted: (from, message) => {
-			this.#news.give(from.host, message);
+			this.#directorySync.sendUpdate(from.host, message);
 		},
 		directory: (from, message) => {
-			this.#news.take(from.host, message);
+			this.#directorySync.applyUpdate(from.host, message);
 		},
 		crashes: (_from, {reports}) => {
 			this.#parts.guard.hear(reports);
@@ -91,13 +90,13 @@
 			this.#parts.endpoints.receiveDrains(endpoints, from.host);
 		},
 		reading: (_from, message) => {
-			this.load.hearReading(message);
+			this.load.receivePrompt(message);
 		},
 		placed: (_from, message) => {
-			this.load.hearPlaced(message);
+			this.load.receiveReservation(message);
 		},
 		waiting: (from, message) => {
-			this.load.hearWaiting(from.host, message);
+			this.load.receiveWaiting(from.host, message);
 		},
 		freshnessWanted: (from, message) => {
 			this.freshness.handleRequest(from.host, message);
@@ -131,12 +130,12 @@
 	constructor(parts: FleetParts) {
 		const {context} = parts;
 		this.#parts = parts;
-		this.#hosts = new KnownHosts(context.clock);
+		this.#knownHosts = new KnownHosts(context.clock);
 		this.changedAt = context.clock.now();
 		const makeLinks = parts.makeLinks ?? (listener => new PeerLinks<RelayMessage>(context, relayBatch, listener));
 		this.#links = makeLinks({
 			onMessage: (from, message) => {
-				this.#hear(from, message);
+				this.#dispatch(from, message);
 			},
 			onLost: (host, isRefused) => {
 				this.membership.lost(host, isRefused);
@@ -144,10 +143,10 @@
 			ownRecord: () => this.membership.members.self,
 			addressOf: host => this.membership.members.recordOf(host)?.peerAddress,
 		});
-		this.#greetings = new Greetings({
+		this.#seedContact = new SeedContact({
 			clock: context.clock,
 			seeds: context.settings.seeds,
-			listKnown: () => this.membership.members.listReachable().map(({peerAddress}) => peerAddress),
+			listReachable: () => this.membership.members.listReachable().map(({peerAddress}) => peerAddress),
 			greet: address => {
 				this.#links.greet(address);
 			},
@@ -180,7 +179,7 @@
 		this.quotas = new WorkspaceQuotas({
 			...access,
 			listHeard: () => this.membership.members.listReachable().map(({host}) => host),
-			countKnown: () => this.#hosts.count(),
+			countKnown: () => this.#knownHosts.count(),
 		});
 		this.limiter = new RateLimiter({
 			context,
@@ -191,9 +190,9 @@
 				parts.endpoints.receiveLimits(limits, from);
 			},
 			listReachable: () => this.membership.members.listReachable(),
-			countKnown: () => this.#hosts.count(),
+			countKnown: () => this.#knownHosts.count(),
 		});
-		this.#news = new DirectoryNews({
+		this.#directorySync = new DirectorySync({
 			...parts,
 			isReader: () => this.isReader(),
 			send,
@@ -207,20 +206,20 @@
 			measureLoad: parts.measureLoad,
 			onChange: () => {
 				context.metrics.set('hosts', this.countHosts());
-				this.#noteChange();
-				this.watcherFailover.noteFleet();
-				this.#passOn();
+				this.#handleMembershipChange();
+				this.watcherFailover.handleMembershipChange();
+				this.#scheduleAnnounce();
 			},
 			onLateWake: () => {
 				this.changedAt = context.clock.now();
-				this.#greetings.greet();
-				// Its connection may have died unseen, and what it knows of leaving endpoints is old
-				parts.watch().doubt();
+				this.#seedContact.greet();
+				// After a long pause the watch's connection may be dead and endpoint state outdated
+				parts.watch().recheck();
 			},
 		}, makeOwnRecord(context));
 	}
 
-	/** Hosts that may take part in what all share, this one among them: all but those held to be gone. */
+	/** Number of hosts, including this one, that are not considered dead. */
 	countHosts(): number {
 		return this.membership.members.list().filter(({state}) => state !== 'dead').length;
 	}
@@ -228,14 +227,14 @@
 	/** Whether this host reads the directory itself. */
 	isReader(): boolean {
 		const alive = this.#listAlive();
-		return this.#news.hearsUnplaced
+		return this.#directorySync.hasIncomparablePeer
 			|| isDirectoryReader(this.membership.members.self, alive)
-			|| isReaderSilent(new Set(this.membership.listSilent(standInMs)), alive)
-			|| this.membership.hearsNobody(standInMs)
+			|| isReaderSilent(new Set(this.membership.listSilent(readerSilenceMs)), alive)
+			|| this.membership.hearsNobody(readerSilenceMs)
 			|| this.watcherFailover.isTakingOver;
 	}
 
-	/** Whether this host is the first of those that read and are answered: the one whose reads are short, so that silence is noticed. */
+	/** Whether this host is the first of the readers that reach the directory; it uses short watches to detect dead connections. */
 	isFirstReader(): boolean {
 		const alive = this.#listAlive();
 		const {answering} = viewReading(alive);
@@ -243,84 +242,84 @@
 		return first === this.#parts.context.self.host;
 	}
 
-	/** Whether this host is the first by rank of those alive: the one that acts for all in a matter. */
-	isFirst(matter = 'orders'): boolean {
+	/** Whether this host ranks first among those alive, and so performs a duty for the fleet. There is no consensus: hosts with different views may disagree. */
+	isFirst(duty = 'orders'): boolean {
 		const alive = this.#listAlive().map(({host}) => host);
-		return rankFirst(matter, alive) === this.#parts.context.self.host;
+		return rankFirst(duty, alive) === this.#parts.context.self.host;
 	}
 
-	/** Whether more than half of all hosts known, those held to be gone among them, are alive. */
+	/** Whether more than half of all known hosts, including dead ones, are alive. */
 	hasMajority(): boolean {
 		return 2 * this.#listAlive().length > this.membership.members.list().length;
 	}
 
-	/** Starts; resolves once the own address is bound. */
+	/** Starts; resolves once the listening address is bound. */
 	async start(): Promise<void> {
 		const boundAddress = await this.#links.listen();
 		this.membership.members.updateSelf({peerAddress: this.#parts.context.settings.listen.advertisedPeer ?? boundAddress});
 		this.membership.start();
-		this.#greetings.start();
+		this.#seedContact.start();
 	}
 
-	/** Says that this host is leaving. */
+	/** Announces that this host is leaving. */
 	leave(): void {
 		this.membership.leave();
 	}
 
-	/** Takes over other seeds. */
+	/** Replaces the seeds. */
 	reload(seeds: readonly string[]): void {
-		this.#greetings.setSeeds(seeds);
+		this.#seedContact.setSeeds(seeds);
 	}
 
-	/** Tells the neighbours at once what is new. */
+	/** Sends a heartbeat to all neighbours at once. */
 	announce(): void {
 		this.membership.announceNow();
 	}
 
-	/** Tells all hosts that can be reached of an endpoint that fails. */
+	/** Sends the pause of a failing endpoint to all reachable hosts. */
 	tellPause(pause: Pause): void {
-		this.#tellAll({kind: 'paused', pause});
+		this.#broadcast({kind: 'paused', pause});
 	}
 
-	/** Sends a drain notice to all hosts that can be reached. */
+	/** Sends a drain notice to all reachable hosts. */
 	announceDrain(endpoint: string): void {
-		this.#tellAll({kind: 'draining', endpoints: [endpoint]});
+		this.#broadcast({kind: 'draining', endpoints: [endpoint]});
 	}
 
-	/** Tells all hosts that can be reached of contents under which endpoints end. */
+	/** Sends reports of request contents that crash endpoints to all reachable hosts. */
 	tellCrashes(reports: readonly CrashReport[]): void {
-		this.#tellAll({kind: 'crashes', reports: [...reports]});
+		this.#broadcast({kind: 'crashes', reports: [...reports]});
 	}
 
 	/** Closes all links. */
 	close(): void {
-		this.#greetings.stop();
-		this.#news.close();
+		this.#seedContact.stop();
+		this.#directorySync.close();
 		this.watcherFailover.stop();
 		this.load.close();
 		this.limiter.close();
-		this.#passTimer?.stop();
+		this.#announceTimer?.stop();
 		this.membership.stop();
 		this.#links.close();
 	}
 
-	#noteChange(): void {
-		const known = this.membership.members.list().map(({host, state, incarnation}) => `${host} ${state} ${incarnation}`).join(';');
-		if (known !== this.#known) {
-			this.#known = known;
+	#handleMembershipChange(): void {
+		const states = this.membership.members.list().map(({host, state, incarnation}) => `${host} ${state} ${incarnation}`).join(';');
+		if (states !== this.#knownStates) {
+			this.#knownStates = states;
 			this.changedAt = this.#parts.context.clock.now();
 			this.hasFollowed ||= !this.isFirst();
 			this.load.setMembers(this.membership.members.list());
-			this.#hosts.note(this.membership.members.list());
+			this.#knownHosts.update(this.membership.members.list());
 			this.quotas.handleMembershipChange();
 			this.limiter.noteFleetChange();
 		}
 	}
 
-	/** Passes news of hosts on before the next tick, a few together. */
-	#passOn(): void {
-		this.#passTimer ??= this.#parts.context.clock.after(passOnMs, () => {
-			this.#passTimer = undefined;
+	/** Announces membership changes in a batch, before the next heartbeat. */
+	#scheduleAnnounce(): void {
+		this.#announceTimer ??= this.#parts.context.clock.after(announceDelayMs, () => {
+			this.#announceTimer = undefined;
 			this.announce();
 		});
 	}
@@ -329,7 +328,7 @@
 		return this.membership.members.list().filter(({state}) => state === 'alive');
 	}
 
-	#tellAll(message: RelayMessage): void {
+	#broadcast(message: RelayMessage): void {
 		for (const {host} of this.membership.members.listReachable()) {
 			if (host !== this.#parts.context.self.host) {
 				this.#links.send(host, message);
@@ -367,9 +366,9 @@
 		};
 	}
 
-	#hear<Kind extends RelayMessage['kind']>(from: Owner, message: RelayMessageOf<Kind> & {readonly kind: Kind}): void {
-		const hear: Hearer<Kind> = this.#hearers[message.kind];
-		hear(from, message);
+	#dispatch<Kind extends RelayMessage['kind']>(from: Owner, message: RelayMessageOf<Kind> & {readonly kind: Kind}): void {
+		const handle: MessageHandler<Kind> = this.#handlers[message.kind];
+		handle(from, message);
 	}
 }
 
--- a/packages/relay/src/peer/load-news.test.ts
+++ b/packages/relay/src/peer/load-news.test.ts
@@ -1,4 +1,4 @@
-/** When a host tells its peers of its load, on a clock that the test moves. */
+/** When a host sends its load to its peers, with a manual clock. */
 import {describe, it} from 'node:test';
 import {ManualClock} from '@gatehead/policy/utils/manual-clock';
 import {ignore} from '@gatehead/policy/utils/ignore';
@@ -29,25 +29,25 @@
 	readonly name: string;
 	readonly hosts: number;
 	readonly steps: readonly Step[];
-	/** Messages that one peer was told, by kind. */
-	readonly told: readonly string[];
+	/** Kinds of the messages sent to one peer. */
+	readonly sent: readonly string[];
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'few peers hear of a waiting request at once', hosts: 9, steps: ['waiting', {wait: 1}], told: ['waiting'],
+		name: 'few peers receive waiting counts at once', hosts: 9, steps: ['waiting', {wait: 1}], sent: ['waiting'],
 	},
 	{
-		name: 'many hear of it after a while', hosts: 25, steps: ['waiting', {wait: 150}], told: [],
+		name: 'many peers do not receive them at once', hosts: 25, steps: ['waiting', {wait: 150}], sent: [],
 	},
 	{
-		name: 'and then once, however often it changed', hosts: 25, steps: ['waiting', {wait: 50}, 'waiting', {wait: 160}], told: ['waiting'],
+		name: 'many peers receive changed counts in one message', hosts: 25, steps: ['waiting', {wait: 50}, 'waiting', {wait: 160}], sent: ['waiting'],
 	},
 	{
-		name: 'a prompt goes at once and takes the count along', hosts: 25, steps: ['waiting', {wait: 50}, 'reading', {wait: 1}], told: ['reading', 'waiting'],
+		name: 'a prompt is sent at once, together with pending counts', hosts: 25, steps: ['waiting', {wait: 50}, 'reading', {wait: 1}], sent: ['reading', 'waiting'],
 	},
 	{
-		name: 'hosts of another subset are told nothing', hosts: 86, steps: ['reading', {wait: 1}], told: ['reading'],
+		name: 'hosts of other subsets receive nothing', hosts: 86, steps: ['reading', {wait: 1}], sent: ['reading'],
 	},
 ];
 
@@ -57,8 +57,8 @@
 	};
 }
 
-describe('news of load', () => {
-	it('a burst of changes of the fleet deals its hosts once, when a request asks', () => {
+describe('load gossip', () => {
+	it('a burst of membership changes computes subsets once, on first use', () => {
 		const dealt: string[] = [];
 		const context = makeContext(code => {
 			dealt.push(code);
@@ -78,16 +78,16 @@
 	});
 
 	for (const {
-		name, hosts, steps, told,
+		name, hosts, steps, sent,
 	} of cases) {
 		it(name, () => {
 			const context = makeContext();
-			const heard = new Map<string, string[]>();
+			const received = new Map<string, string[]>();
 			const news = new LoadNews({
 				context, endpoints: new Endpoints(context, {
 					onPause: ignore, onLimit: ignore, onDrain: ignore, onRoom: ignore, onGone: ignore, subset: () => wholeFleet,
 				}), send(host, {kind}) {
-					heard.set(host, [...heard.get(host) ?? [], kind]);
+					received.set(host, [...received.get(host) ?? [], kind]);
 				},
 			});
 			news.setMembers(makeMembers(hosts));
@@ -101,8 +101,8 @@
 				}
 			}
 
-			expect([...heard.values()][0] ?? []).toEqual([...told]);
-			expect(heard.size).toEqual(told.length === 0 ? 0 : Math.ceil(hosts / news.subset.count) - 1);
+			expect([...received.values()][0] ?? []).toEqual([...sent]);
+			expect(received.size).toEqual(sent.length === 0 ? 0 : Math.ceil(hosts / news.subset.count) - 1);
 		});
 	}
 });
--- a/packages/relay/src/peer/load-news.ts
+++ b/packages/relay/src/peer/load-news.ts
@@ -1,7 +1,7 @@
 /**
- * What hosts that share endpoints tell each other of every request: prompts
- * on their way, decode memory taken, requests that wait. In a large fleet
- * those are the hosts of one subset. Efficiency: news may be late or lost.
+ * Gossip about load among hosts that share endpoints: prompts sent to prefill
+ * replicas, reserved decode memory, and waiting requests. In a large fleet
+ * these are the hosts of one subset. Messages may be late or lost.
  */
 import {GossipBudget} from '@gatehead/policy/relay/gossip-budget';
 import {
@@ -15,147 +15,147 @@
 import {type Endpoints} from '../upstream/endpoints.js';
 import {WaitingCounts} from './waiting-counts.js';
 
-/** Peers up to which counts of waiting requests are told at once: a count changes twice a request that waits, at 0.5 ms of processor time a message. */
-const fewPeers = 12;
-/** Time for which counts wait for another message to go with, among more peers, in milliseconds: about as long as a request waits before it is decided upon. */
-const countsMs = 200;
+/** Number of peers up to which waiting counts are sent immediately; each waiting request changes its count twice, so more peers would cost too much CPU time. */
+const maxImmediatePeers = 12;
+/** Time for which waiting counts are batched with more peers, in milliseconds. */
+const countBatchMs = 200;
 
-/** What the news are made from, and where they go. */
-export type LoadNewsParts = {
+/** Dependencies of the gossip. */
+export type LoadGossipParts = {
 	readonly context: Pick<RelayContext, 'clock' | 'log' | 'self' | 'settings'>;
 	readonly endpoints: Endpoints;
 	readonly send: (host: string, message: RelayMessage) => void;
 };
 
-/** This host's subset, and the other hosts of it that can be reached. */
-type Dealt = {
+/** This host's subset, and its other live hosts. */
+type SubsetPeers = {
 	readonly subset: Subset;
 	readonly peers: readonly string[];
 };
 
-/** Tells the peers of this host's subset, and hears them. */
+/** Exchanges load with the peers in this host's subset. */
 export class LoadNews {
-	readonly #parts: LoadNewsParts;
+	readonly #parts: LoadGossipParts;
 	readonly #budget: GossipBudget;
 	readonly #waiting = new WaitingCounts();
-	/** Said with the next message. */
+	/** Messages to send with the next flush. */
 	#pending: RelayMessage[] = [];
-	/** Counts of waiting requests to be said, by service: only the last one matters. */
+	/** Unsent counts of waiting requests by service; only the latest is sent. */
 	readonly #pendingCounts = new Map<string, number>();
 	#members: readonly MemberRecord[] = [];
-	/** What follows from the members; undefined until it is asked for. */
-	#dealt: Dealt | undefined;
-	/** As last written down. */
-	#subset = wholeFleet;
+	/** Computed from the members on first use; undefined after a membership change. */
+	#subsetPeers: SubsetPeers | undefined;
+	/** Subset as last logged. */
+	#loggedSubset = wholeFleet;
 	#timer: Timer | undefined;
-	/** When the timer fires. */
+	/** Time at which the timer fires. */
 	#dueAt = 0;
 
-	constructor(parts: LoadNewsParts) {
+	constructor(parts: LoadGossipParts) {
 		const {clock, settings} = parts.context;
 		this.#parts = parts;
 		this.#budget = new GossipBudget(settings.limits.loadMessages, clock.now());
 	}
 
-	/** The subset that this host belongs to. */
+	/** Subset of this host. */
 	get subset(): Subset {
-		return this.#deal().subset;
+		return this.#assignSubset().subset;
 	}
 
-	/** Takes over which hosts there are. Dealing them takes a millisecond of processor time at 195 hosts, and a start of all brings as many changes: they are dealt when a request asks for the subset. */
+	/** Replaces the member list. Subsets are computed lazily, because they are expensive in a large fleet and a fleet start causes as many changes as there are hosts. */
 	setMembers(members: readonly MemberRecord[]): void {
 		this.#members = members;
-		this.#dealt = undefined;
+		this.#subsetPeers = undefined;
 	}
 
-	/** A prompt goes to a prefill replica now. */
+	/** Announces a prompt sent to a prefill replica. */
 	tellReading(endpoint: string, tokens: number): void {
 		if (isOff(this.#parts.context, 'peerReadings')) {
 			return;
 		}
 
-		this.#tell({kind: 'reading', endpoint, tokens});
+		this.#enqueue({kind: 'reading', endpoint, tokens});
 	}
 
-	/** Memory was reserved at a decode replica, to be held for about so long. */
+	/** Announces memory reserved at a decode replica for an estimated `heldMs` milliseconds. */
 	tellPlaced(endpoint: string, tokens: number, heldMs: number): void {
 		if (isOff(this.#parts.context, 'peerUse')) {
 			return;
 		}
 
-		this.#tell({
+		this.#enqueue({
 			kind: 'placed', endpoint, tokens, heldMs,
 		});
 	}
 
-	/** So many requests wait for a service here. */
+	/** Announces the number of requests that wait for a service at this host. */
 	tellWaiting(service: string, count: number): void {
 		if (isOff(this.#parts.context, 'peerWaiting')) {
 			return;
 		}
 
 		this.#pendingCounts.set(service, count);
-		this.#schedule(this.#deal().peers.length > fewPeers ? countsMs : 0);
+		this.#schedule(this.#assignSubset().peers.length > maxImmediatePeers ? countBatchMs : 0);
 	}
 
-	/** Requests that wait for a service at the peers. */
+	/** Number of requests that wait for a service at the peers. */
 	waitingElsewhere(service: string): number {
 		return this.#waiting.sum(service, this.#parts.context.clock.now());
 	}
 
-	/** A peer's prompt. */
-	hearReading({endpoint, tokens}: RelayMessageOf<'reading'>): void {
+	/** Records a prompt that a peer sent to a prefill replica. */
+	receivePrompt({endpoint, tokens}: RelayMessageOf<'reading'>): void {
 		const {endpoints, context: {clock}} = this.#parts;
 		endpoints.queueOf(endpoint).add(tokens, clock.now());
 	}
 
-	/** Memory that a peer has taken. */
-	hearPlaced({endpoint, tokens, heldMs}: RelayMessageOf<'placed'>): void {
+	/** Records memory that a peer reserved. */
+	receiveReservation({endpoint, tokens, heldMs}: RelayMessageOf<'placed'>): void {
 		this.#parts.endpoints.noteTaken(endpoint, tokens, heldMs);
 	}
 
-	/** A peer's waiting requests. */
-	hearWaiting(host: string, {service, count}: RelayMessageOf<'waiting'>): void {
-		this.#waiting.hear(service, host, count, this.#parts.context.clock.now());
+	/** Records a peer's number of waiting requests. */
+	receiveWaiting(host: string, {service, count}: RelayMessageOf<'waiting'>): void {
+		this.#waiting.set(service, host, count, this.#parts.context.clock.now());
 	}
 
-	/** Says nothing more. */
+	/** Stops sending. */
 	close(): void {
 		this.#timer?.stop();
 	}
 
-	#deal(): Dealt {
-		if (this.#dealt !== undefined) {
-			return this.#dealt;
+	#assignSubset(): SubsetPeers {
+		if (this.#subsetPeers !== undefined) {
+			return this.#subsetPeers;
 		}
 
 		const {self} = this.#parts.context;
-		// A host that is merely suspected comes back: dealing without it would move others for nothing
-		const staying = this.#members.filter(({state}) => state === 'alive' || state === 'suspect');
-		const count = countSubsets(staying.length);
-		const dealt = dealSubsets(staying.map(({host}) => host), count);
+		// Suspected hosts usually return; excluding them would reassign other hosts needlessly
+		const candidates = this.#members.filter(({state}) => state === 'alive' || state === 'suspect');
+		const count = countSubsets(candidates.length);
+		const dealt = dealSubsets(candidates.map(({host}) => host), count);
 		const own = dealt.get(self.host) ?? 0;
-		const peers = staying.filter(({host, state}) => state === 'alive' && host !== self.host && dealt.get(host) === own).map(({host}) => host);
-		this.#dealt = {subset: {count, own}, peers};
-		this.#noteSubset(this.#dealt);
-		return this.#dealt;
+		const peers = candidates.filter(({host, state}) => state === 'alive' && host !== self.host && dealt.get(host) === own).map(({host}) => host);
+		this.#subsetPeers = {subset: {count, own}, peers};
+		this.#logSubsetChange(this.#subsetPeers);
+		return this.#subsetPeers;
 	}
 
-	#noteSubset({subset, peers}: Dealt): void {
-		if (subset.count === this.#subset.count && subset.own === this.#subset.own) {
+	#logSubsetChange({subset, peers}: SubsetPeers): void {
+		if (subset.count === this.#loggedSubset.count && subset.own === this.#loggedSubset.own) {
 			return;
 		}
 
-		this.#subset = subset;
+		this.#loggedSubset = subset;
 		this.#parts.context.log('subsetChanged', {subsets: subset.count, subset: subset.own, hosts: peers.length + 1});
 	}
 
-	#tell(message: RelayMessage): void {
+	#enqueue(message: RelayMessage): void {
 		this.#pending.push(message);
 		this.#schedule(0);
 	}
 
-	/** Flushes after a delay, or when the pace allows it; what is due sooner takes the rest along. */
+	/** Flushes after a delay, or later if the gossip budget requires it. An earlier flush sends everything pending. */
 	#schedule(delayMs: number): void {
 		const {clock} = this.#parts.context;
 		const now = clock.now();
@@ -172,7 +172,7 @@
 		});
 	}
 
-	/** Takes what is to be said, the counts last. */
+	/** Removes and returns the pending messages, counts last. */
 	#takePending(): RelayMessage[] {
 		const messages = this.#pending;
 		this.#pending = [];
@@ -186,7 +186,7 @@
 
 	#flush(): void {
 		const messages = this.#takePending();
-		const {peers} = this.#deal();
+		const {peers} = this.#assignSubset();
 		for (const host of peers) {
 			for (const message of messages) {
 				this.#parts.send(host, message);
--- a/packages/relay/src/peer/watcher-failover.test.ts
+++ b/packages/relay/src/peer/watcher-failover.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: what one host says of reading the directory, and when it reads for others, on a clock that the test moves. */
+/** What a host announces about its reads of the directory, and when it takes over from other watchers, with a manual clock. */
 import {describe, it} from 'node:test';
 import {rank} from '@gatehead/policy/core/rendezvous';
 import {readerMatter} from '@gatehead/policy/relay/directory-readers';
@@ -10,95 +10,140 @@
 import {WatcherFailover} from './watcher-failover.js';
 
 const names = rank(readerMatter, Array.from({length: 20}, (_, index) => `host-${index}`));
-/** All hosts stand in one hall: the first three by rank read. */
+/** All hosts are in one hall, so the first three by rank are readers. */
 const readers = 3;
 
-/** Time in which every host has had its turn, in milliseconds. */
-const allTurnsMs = 1000;
+/** Time by which every host has had its chance to take over, in milliseconds. */
+const maxTakeoverMs = 1000;
 
-type Word = MemberRecord['directory'];
-/** The word of the first by rank changes; this host's read ends; time passes; a host of higher rank comes. */
-type Step = {readonly firstSays: Word} | {readonly read: ReadOutcome} | {readonly wait: number} | 'otherFirst';
+type AnnouncedState = MemberRecord['directory'];
+/** The first host by rank announces a state; a read of this host completes; time passes; hosts of higher rank join. */
+type Step = {readonly firstAnnounces: AnnouncedState} | {readonly read: ReadOutcome} | {readonly wait: number} | 'higherRankedJoin';
 
 type Case = {
 	readonly name: string;
-	/** This host's place by rank. */
+	/** Rank of this host, from 0. */
 	readonly place: number;
 	readonly steps: readonly Step[];
-	readonly says: Word;
-	readonly standsIn: boolean;
-	readonly looks?: number;
+	readonly announces: AnnouncedState;
+	readonly takesOver: boolean;
+	readonly rechecks?: number;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'a reader that is turned away says so', place: 0, steps: [{read: 'away'}], says: 'away', standsIn: false,
+		name: 'a reader announces that the directory is unavailable to it',
+		place: 0,
+		steps: [{read: 'away'}],
+		announces: 'away',
+		takesOver: false,
 	},
 	{
-		name: 'a watch that is cut is no such thing', place: 0, steps: [{read: 'failed'}], says: undefined, standsIn: false,
+		name: 'a single failed read is not announced',
+		place: 0,
+		steps: [{read: 'failed'}],
+		announces: undefined,
+		takesOver: false,
 	},
 	{
-		name: 'it takes that back when it is answered', place: 0, steps: [{read: 'away'}, {read: 'answered'}], says: undefined, standsIn: false,
+		name: 'a reader withdraws the announcement after a successful read',
+		place: 0,
+		steps: [{read: 'away'}, {read: 'answered'}],
+		announces: undefined,
+		takesOver: false,
 	},
 	{
-		name: 'and when hosts that come read in its place', place: readers - 1, steps: [{read: 'away'}, 'otherFirst'], says: undefined, standsIn: false,
+		name: 'a reader withdraws the announcement when joining hosts replace it',
+		place: readers - 1,
+		steps: [{read: 'away'}, 'higherRankedJoin'],
+		announces: undefined,
+		takesOver: false,
 	},
 	{
-		name: 'another reader looks at once, and says that it is answered', place: 1, steps: [{firstSays: 'away'}, {read: 'answered'}], says: 'answers', standsIn: false, looks: 1,
+		name: 'another reader rechecks at once and announces that its reads succeed',
+		place: 1,
+		steps: [{firstAnnounces: 'away'}, {read: 'answered'}],
+		announces: 'answers',
+		takesOver: false,
+		rechecks: 1,
 	},
 	{
-		name: 'until the first one is', place: 1, steps: [{firstSays: 'away'}, {read: 'answered'}, {firstSays: undefined}], says: undefined, standsIn: false, looks: 1,
+		name: 'another reader withdraws that when the first one recovers',
+		place: 1,
+		steps: [{firstAnnounces: 'away'}, {read: 'answered'}, {firstAnnounces: undefined}],
+		announces: undefined,
+		takesOver: false,
+		rechecks: 1,
 	},
 	{
-		name: 'a host that does not read stands in where nobody is answered', place: 9, steps: [{firstSays: 'away'}, {wait: allTurnsMs}, {read: 'answered'}], says: 'answers', standsIn: true, looks: 1,
+		name: 'a host that is not a reader takes over if no reader succeeds',
+		place: 9,
+		steps: [{firstAnnounces: 'away'}, {wait: maxTakeoverMs}, {read: 'answered'}],
+		announces: 'answers',
+		takesOver: true,
+		rechecks: 1,
 	},
 	{
-		name: 'not before its turn', place: 9, steps: [{firstSays: 'away'}, {wait: 100}], says: undefined, standsIn: false,
+		name: 'a host does not take over before its delay has passed',
+		place: 9,
+		steps: [{firstAnnounces: 'away'}, {wait: 100}],
+		announces: undefined,
+		takesOver: false,
 	},
 	{
-		name: 'and rests where it is turned away as well', place: 9, steps: [{firstSays: 'away'}, {wait: allTurnsMs}, {read: 'failed'}, {wait: 5000}], says: undefined, standsIn: false, looks: 1,
+		name: 'a host whose takeover failed does not retry at once',
+		place: 9,
+		steps: [{firstAnnounces: 'away'}, {wait: maxTakeoverMs}, {read: 'failed'}, {wait: 5000}],
+		announces: undefined,
+		takesOver: false,
+		rechecks: 1,
 	},
 	{
-		name: 'it stands down with the first one\'s answer', place: 9, steps: [{firstSays: 'away'}, {wait: allTurnsMs}, {read: 'answered'}, {firstSays: undefined}], says: undefined, standsIn: false, looks: 1,
+		name: 'a host steps down when the first reader recovers',
+		place: 9,
+		steps: [{firstAnnounces: 'away'}, {wait: maxTakeoverMs}, {read: 'answered'}, {firstAnnounces: undefined}],
+		announces: undefined,
+		takesOver: false,
+		rechecks: 1,
 	},
 ];
 
-describe('reading for others', () => {
+describe('watcher failover', () => {
 	for (const {
-		name, place, steps, says, standsIn, looks = 0,
+		name, place, steps, announces, takesOver, rechecks = 0,
 	} of cases) {
 		it(name, () => {
 			const clock = new ManualClock();
-			const words = new Map<string, Word>();
+			const announced = new Map<string, AnnouncedState>();
 			const alive = [...names];
 			const self = names[place] ?? '';
 			const toRecord = (host: string): MemberRecord => ({
-				host, hall: 'one', region: 'r', incarnation: 1, counter: 1, state: 'alive', callerAddress: '', peerAddress: '', adminAddress: '', load: 0, directory: words.get(host),
+				host, hall: 'one', region: 'r', incarnation: 1, counter: 1, state: 'alive', callerAddress: '', peerAddress: '', adminAddress: '', load: 0, directory: announced.get(host),
 			});
-			let looked = 0;
+			let recheckCount = 0;
 			const failover = new WatcherFailover({
 				context: {clock, log: ignore},
 				listAlive: () => alive.map(host => toRecord(host)),
 				self: () => toRecord(self),
 				announce(directory) {
-					words.set(self, directory);
+					announced.set(self, directory);
 				},
 				watch: () => ({
-					doubt() {
-						looked += 1;
+					recheck() {
+						recheckCount += 1;
 					},
 					wake: ignore,
 				}),
 			});
 			for (const step of steps) {
-				if (step === 'otherFirst') {
+				if (step === 'higherRankedJoin') {
 					alive.splice(0, alive.length, self, ...names.filter(host => host !== self));
 					const higher = Array.from({length: 4000}, (_, index) => `new-${index}`);
 					alive.push(...rank(readerMatter, [...higher, self]).slice(0, readers));
-					failover.noteFleet();
-				} else if ('firstSays' in step) {
-					words.set(names[0] ?? '', step.firstSays);
-					failover.noteFleet();
+					failover.handleMembershipChange();
+				} else if ('firstAnnounces' in step) {
+					announced.set(names[0] ?? '', step.firstAnnounces);
+					failover.handleMembershipChange();
 				} else if ('read' in step) {
 					failover.noteRead(step.read);
 				} else {
@@ -106,7 +151,7 @@
 				}
 			}
 
-			expect({says: words.get(self), standsIn: failover.isTakingOver, looked}).toEqual({says, standsIn, looked: looks});
+			expect({announces: announced.get(self), takesOver: failover.isTakingOver, rechecks: recheckCount}).toEqual({announces, takesOver, rechecks});
 			failover.stop();
 		});
 	}
--- a/packages/relay/src/peer/watcher-failover.ts
+++ b/packages/relay/src/peer/watcher-failover.ts
@@ -2,8 +2,7 @@
  * Failover of the directory watcher role. A watcher that is alive but gets
  * only errors keeps its role as far as membership can tell, so it announces
  * itself as unavailable. The other watchers then check their own watches at
- * once, and more and more hosts take over until one succeeds. Efficiency:
- * versions and positions decide what is adopted, not who has read it.
+ * once, and more and more hosts take over until one succeeds.
  */
 import {
 	isDirectoryReader, isSmallFleet, isSpareReader, standInAfterMs, viewReading,
@@ -13,24 +12,24 @@
 import {type RelayContext} from '../core/context.js';
 import {type DirectoryWatch, type ReadOutcome} from '../core/directory-watch.js';
 
-/** Time until a host that took over without success tries again, in milliseconds: a directory that rejects everybody is back within seconds, and its watchers keep retrying. */
-const againMs = 8000;
+/** Delay before a host whose takeover failed tries again, in milliseconds; long, because the regular watchers keep retrying. */
+const retryMs = 8000;
 
-/** What failover works with. */
+/** Dependencies of `WatcherFailover`. */
 export type WatcherFailoverParts = {
 	readonly context: Pick<RelayContext, 'clock' | 'log'>;
 	readonly listAlive: () => readonly MemberRecord[];
 	readonly self: () => MemberRecord;
 	/** Publishes this host's state as a watcher to its neighbours. */
 	readonly announce: (directory: MemberRecord['directory']) => void;
-	readonly watch: () => Pick<DirectoryWatch, 'doubt' | 'wake'>;
+	readonly watch: () => Pick<DirectoryWatch, 'recheck' | 'wake'>;
 };
 
-/** One host's part in failover. */
+/** Failover logic of one host. */
 export class WatcherFailover {
 	readonly #parts: WatcherFailoverParts;
 	#isTakingOver = false;
-	#isDoubted = false;
+	#isWatcherUnavailable = false;
 	#timer: Timer | undefined;
 	#triedAt = Number.NEGATIVE_INFINITY;
 
@@ -44,12 +43,12 @@
 	}
 
 	/** Reacts to a change of any host's state. */
-	noteFleet(): void {
+	handleMembershipChange(): void {
 		const {listAlive, self, watch} = this.#parts;
 		const alive = listAlive();
 		const view = viewReading(alive);
-		const hasBegun = view.isDoubted && !this.#isDoubted;
-		this.#isDoubted = view.isDoubted;
+		const isNewlyUnavailable = view.isDoubted && !this.#isWatcherUnavailable;
+		this.#isWatcherUnavailable = view.isDoubted;
 		if (!view.isDoubted) {
 			this.#stepDown();
 			return;
@@ -57,15 +56,15 @@
 
 		const isReader = isDirectoryReader(self(), alive);
 		if (!isReader && self().directory === 'away') {
-			// No longer a watcher, so no successful read would ever clear the flag
+			// No longer a watcher, so no successful read would clear the announcement
 			this.#announce(undefined);
 			return;
 		}
 
 		if (isReader) {
-			if (hasBegun && self().directory === undefined) {
-				// The own watch may be half-open as well, which nothing else would show for seconds
-				watch().doubt();
+			if (isNewlyUnavailable && self().directory === undefined) {
+				// The own watch may be half-open as well, which would otherwise go undetected for seconds
+				watch().recheck();
 			}
 
 			return;
@@ -76,7 +75,7 @@
 		}
 
 		if (view.answering.length === 0) {
-			this.#plan(alive);
+			this.#scheduleTakeover(alive);
 		}
 	}
 
@@ -85,7 +84,7 @@
 		const {listAlive, self} = this.#parts;
 		const alive = listAlive();
 		if (isDirectoryReader(self(), alive)) {
-			this.#noteOwnRead(outcome, alive);
+			this.#handleOwnRead(outcome, alive);
 			return;
 		}
 
@@ -95,13 +94,12 @@
 		}
 	}
 
-	/** Ends. */
 	stop(): void {
 		this.#timer?.stop();
 	}
 
 	/** A watcher announces its state only while it or another watcher is unavailable. */
-	#noteOwnRead(outcome: ReadOutcome, alive: readonly MemberRecord[]): void {
+	#handleOwnRead(outcome: ReadOutcome, alive: readonly MemberRecord[]): void {
 		if (outcome === 'away' && !isSmallFleet(alive)) {
 			this.#announce('away');
 		}
@@ -113,13 +111,13 @@
 		}
 	}
 
-	#plan(alive: readonly MemberRecord[]): void {
+	#scheduleTakeover(alive: readonly MemberRecord[]): void {
 		const {context: {clock}, self} = this.#parts;
 		if (this.#isTakingOver || this.#timer !== undefined) {
 			return;
 		}
 
-		const backoffMs = Math.max(0, this.#triedAt + againMs - clock.now());
+		const backoffMs = Math.max(0, this.#triedAt + retryMs - clock.now());
 		this.#timer = clock.after(backoffMs + standInAfterMs(self(), alive), () => {
 			this.#timer = undefined;
 			this.#takeOver();
@@ -136,9 +134,9 @@
 
 		this.#triedAt = clock.now();
 		this.#isTakingOver = true;
-		log('readerStandsIn', {detail: 'the hosts that read the directory are turned away'});
+		log('readerStandsIn', {detail: 'the regular directory watchers are unavailable'});
 		// The outcome of the first read arrives at `noteRead`
-		watch().doubt();
+		watch().recheck();
 		watch().wake();
 	}
 
