--- a/packages/relay/src/peer/config-propagation.test.ts
+++ b/packages/relay/src/peer/config-propagation.test.ts
@@ -47,7 +47,7 @@
 /** A connection between two hosts. */
 type Connection = {
 	/** Hosts whose messages are dropped. */
-	readonly silenced: Set<string>;
+	readonly droppedFrom: Set<string>;
 	readonly ends: readonly string[];
 };
 
@@ -121,14 +121,14 @@
 	}
 
 	open(ends: readonly string[]): Connection {
-		const connection = {silenced: new Set<string>(), ends};
+		const connection = {droppedFrom: new Set<string>(), ends};
 		this.#open.push(connection);
 		return connection;
 	}
 
 	deliver(connection: Connection, from: string, afterMs: number, arrive: () => void): void {
 		this.#clock.after(afterMs, () => {
-			if (!connection.silenced.has(from)) {
+			if (!connection.droppedFrom.has(from)) {
 				arrive();
 			}
 		});
@@ -136,11 +136,11 @@
 
 	/** Drops all further traffic, in one or both directions, on a random share of the open connections. */
 	dropTraffic(share: number, random: Random, isOneWay = false): void {
-		for (const {silenced, ends} of this.#open) {
+		for (const {droppedFrom, ends} of this.#open) {
 			if (random.next() < share) {
 				const one = ends[Math.floor(2 * random.next())] ?? '';
 				for (const end of isOneWay ? [one] : ends) {
-					silenced.add(end);
+					droppedFrom.add(end);
 				}
 			}
 		}
@@ -299,9 +299,9 @@
 	}
 
 	/** Runs until a condition holds, at most `mostMs`; returns the elapsed time in milliseconds. */
-	async run(mostMs: number, isSo: () => boolean): Promise<number> {
+	async run(limitMs: number, isDone: () => boolean): Promise<number> {
 		const startedAt = this.clock.now();
-		while (!isSo() && this.clock.now() - startedAt < mostMs) {
+		while (!isDone() && this.clock.now() - startedAt < limitMs) {
 			this.clock.advance(stepMs);
 			await setImmediate();
 		}
@@ -403,7 +403,7 @@
 type Case = {
 	readonly name: string;
 	readonly sizes: readonly number[];
-	readonly harm: InjectFault;
+	readonly inject: InjectFault;
 };
 
 /** Maximum time until the configuration is active at the last host, in milliseconds. */
@@ -412,37 +412,37 @@
 }
 
 const cases: readonly Case[] = [
-	{name: 'no fault', sizes: [4, 16, 60, 90, 300], harm: ignore},
-	{name: 'all open connections die', sizes: [4, 16, 60, 90, 300], harm: dropConnections(1)},
-	{name: 'half of the connections between hosts die, and all to the directory', sizes: [16, 90], harm: dropConnections(0.5)},
-	{name: 'nine in ten hosts, including all readers, get status 503 from the directory', sizes: [16, 60, 90, 300], harm: rejectReaders('busy')},
-	{name: 'nine in ten hosts, including all readers, get no response', sizes: [16, 60, 90, 300], harm: rejectReaders('silent')},
-	{name: 'nine in ten hosts, including all readers, get connection resets', sizes: [16, 60, 90, 300], harm: rejectReaders('reset')},
+	{name: 'no fault', sizes: [4, 16, 60, 90, 300], inject: ignore},
+	{name: 'all open connections die', sizes: [4, 16, 60, 90, 300], inject: dropConnections(1)},
+	{name: 'half of the connections between hosts die, and all to the directory', sizes: [16, 90], inject: dropConnections(0.5)},
+	{name: 'nine in ten hosts, including all readers, get status 503 from the directory', sizes: [16, 60, 90, 300], inject: rejectReaders('busy')},
+	{name: 'nine in ten hosts, including all readers, get no response', sizes: [16, 60, 90, 300], inject: rejectReaders('silent')},
+	{name: 'nine in ten hosts, including all readers, get connection resets', sizes: [16, 60, 90, 300], inject: rejectReaders('reset')},
 ];
 
 /** Seeds, which also vary the time of the fault relative to heartbeats and watches. */
 const seeds = [1, 2, 3];
 
 describe('propagation of a configuration', () => {
-	for (const {name, sizes, harm} of cases) {
+	for (const {name, sizes, inject} of cases) {
 		for (const size of sizes) {
 			it(`${name}: ${size} hosts`, async () => {
 				const times: number[] = [];
-				let divided = 0;
+				let splitFleets = 0;
 				for (const seed of size > 100 ? seeds.slice(0, 1) : seeds) {
 					const fleet = new SimulatedFleet(size, seed);
 					await fleet.start();
 					await fleet.run(seed * 230, () => false);
-					harm(fleet);
+					inject(fleet);
 					times.push(await fleet.publish());
 					await fleet.run(suspicionMs, () => false);
 					await fleet.run(rejoinMs, () => fleet.isWhole);
-					divided += fleet.isWhole ? 0 : 1;
+					splitFleets += fleet.isWhole ? 0 : 1;
 					fleet.close();
 				}
 
 				console.log(`${name}, ${size} hosts: ${times.join(', ')} ms`);
-				expect({late: times.filter(time => time > maxPropagationMs(size)), divided}).toEqual({late: [], divided: 0});
+				expect({late: times.filter(time => time > maxPropagationMs(size)), splitFleets}).toEqual({late: [], splitFleets: 0});
 			});
 		}
 	}
@@ -484,7 +484,7 @@
 });
 
 /** Duration of the outage in milliseconds: the longest that operators plan for. */
-const awayMs = 9000;
+const outageMs = 9000;
 /** Maximum calls during an outage for each host that is not a reader. */
 const maxCallsPerHost = 1;
 /** Maximum calls during an outage for each reader: one a second, with the first ones closer together. */
@@ -493,7 +493,7 @@
 
 describe('a directory unavailable to all hosts', () => {
 	for (const refusal of ['busy', 'silent', 'reset'] as const) {
-		it(`(${refusal}) is called once by each other host, and only by its readers after recovery`, async () => {
+		it(`(${refusal}) receives a bounded number of calls, and is left to its regular readers after recovery`, async () => {
 			const fleet = new SimulatedFleet(60, 1);
 			await fleet.start();
 			for (const {name} of fleet.hosts) {
@@ -501,15 +501,15 @@
 			}
 
 			const {calls} = fleet.directory;
-			await fleet.run(awayMs, () => false);
+			await fleet.run(outageMs, () => false);
 			const asked = fleet.directory.calls - calls;
 			fleet.directory.refusals.clear();
-			await fleet.run(awayMs, () => false);
-			const readingNow = fleet.hosts.filter(each => each.fleet.isReader()).length;
+			await fleet.run(outageMs, () => false);
+			const activeReaders = fleet.hosts.filter(each => each.fleet.isReader()).length;
 			const tookMs = await fleet.publish();
 			fleet.close();
-			console.log(`away (${refusal}): ${asked} calls in ${awayMs} ms at 60 hosts, then ${readingNow} readers`);
-			expect({isBounded: asked <= (60 * maxCallsPerHost) + (readerCount * maxCallsPerReader), readingNow, isInTime: tookMs <= maxPropagationMs(60)}).toEqual({isBounded: true, readingNow: readerCount, isInTime: true});
+			console.log(`unavailable (${refusal}): ${asked} calls in ${outageMs} ms at 60 hosts, then ${activeReaders} readers`);
+			expect({isBounded: asked <= (60 * maxCallsPerHost) + (readerCount * maxCallsPerReader), activeReaders, isInTime: tookMs <= maxPropagationMs(60)}).toEqual({isBounded: true, activeReaders: readerCount, isInTime: true});
 		});
 	}
 });
@@ -557,7 +557,7 @@
 		const questions = ((counts.get('freshnessWanted') ?? 0) - asked) / seconds / hosts.length;
 		fleet.close();
 		const late = waits.filter(wait => wait > promptMs).length;
-		console.log(`unknown routes, 500 a second at each of 60 hosts: ${calls} calls to the directory a second besides ${idleCalls / scanMs * 1000}, ${questions.toFixed(1)} questions a second of a host, ${late} of ${waits.length} later than ${promptMs} ms`);
+		console.log(`unknown routes, 500 a second at each of 60 hosts: ${calls} calls to the directory a second besides ${idleCalls / scanMs * 1000}, ${questions.toFixed(1)} evidence requests a second of a host, ${late} of ${waits.length} later than ${promptMs} ms`);
 		expect({
 			unproven, late: late <= waits.length / 100, calls: calls <= maxConfirmCalls, questions: questions <= maxFreshnessRequests,
 		}).toEqual({
--- a/packages/relay/src/peer/directory-sync.test.ts
+++ b/packages/relay/src/peer/directory-sync.test.ts
@@ -39,7 +39,7 @@
 	readonly host: string;
 	readonly endpoints: Endpoints;
 	readonly watch: DirectoryWatch;
-	readonly news: DirectorySync;
+	readonly sync: DirectorySync;
 	peers: string[];
 };
 
@@ -96,9 +96,9 @@
 	}
 
 	/** Runs until a condition holds at all hosts that are not lost; returns the elapsed time in milliseconds. */
-	runUntil(isSo: (node: Node) => boolean): number {
+	runUntil(condition: (node: Node) => boolean): number {
 		const startedAt = this.clock.now();
-		const isDone = () => [...this.nodes.values()].every(node => this.lost.has(node.host) || isSo(node));
+		const isDone = () => [...this.nodes.values()].every(node => this.lost.has(node.host) || condition(node));
 		for (let at = 0; at < maxRunMs && !isDone(); at += stepMs) {
 			if (at % tickMs === 0 && at > 0) {
 				for (const host of this.nodes.keys()) {
@@ -135,7 +135,7 @@
 			},
 			endpoints, routing, isReader: () => false, isShortWatcher: () => false, onRead: ignore, onNews: ignore,
 		});
-		const news = new DirectorySync({
+		const sync = new DirectorySync({
 			context,
 			endpoints,
 			routing,
@@ -149,7 +149,7 @@
 			},
 		});
 		return {
-			host, endpoints, watch, news, peers: [],
+			host, endpoints, watch, sync, peers: [],
 		};
 	}
 
@@ -166,23 +166,23 @@
 		}
 
 		this.clock.after(transitMs, () => {
-			const news = this.nodes.get(to)?.news;
-			if (news === undefined || this.lost.has(to)) {
+			const sync = this.nodes.get(to)?.sync;
+			if (sync === undefined || this.lost.has(to)) {
 				return;
 			}
 
-			const hear: Partial<Record<Message['kind'], () => void>> = {
+			const handlers: Partial<Record<Message['kind'], () => void>> = {
 				heartbeat() {
-					news.receiveHeartbeat(from, message as RelayMessageOf<'heartbeat'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
+					sync.receiveHeartbeat(from, message as RelayMessageOf<'heartbeat'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
 				},
 				directoryWanted() {
-					news.sendUpdate(from, message as RelayMessageOf<'directoryWanted'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
+					sync.sendUpdate(from, message as RelayMessageOf<'directoryWanted'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
 				},
 				directory() {
-					news.applyUpdate(from, message as RelayMessageOf<'directory'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
+					sync.applyUpdate(from, message as RelayMessageOf<'directory'>); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table's key says so
 				},
 			};
-			hear[message.kind]?.();
+			handlers[message.kind]?.();
 		});
 	}
 }
@@ -239,7 +239,7 @@
 	for (const {name, hosts, lostShare, maxMs} of cases) {
 		it(`${name}: the last host learns of the change in time`, () => {
 			const tookMs = Math.max(...gapsMs.map(gapMs => measurePropagation(hosts, lostShare, gapMs)));
-			console.log(`${hosts} hosts, ${Math.ceil(hosts * lostShare)} lost: ${tookMs} ms to the last host, questions ${requestIntervalMs} ms apart, ${transitMs} ms a message`);
+			console.log(`${hosts} hosts, ${Math.ceil(hosts * lostShare)} lost: ${tookMs} ms to the last host, requests ${requestIntervalMs} ms apart, ${transitMs} ms a message`);
 			expect(tookMs <= maxMs).toEqual(true);
 		});
 	}
--- a/packages/relay/src/peer/known-hosts.ts
+++ b/packages/relay/src/peer/known-hosts.ts
@@ -32,7 +32,7 @@
 		}
 	}
 
-	/** Number of reachable hosts plus those lost within the last minute. */
+	/** Number of reachable hosts plus those lost within `partitionMs`. */
 	count(): number {
 		const now = this.#clock.now();
 		let known = this.#reachable;
--- a/packages/relay/src/peer/load-news.test.ts
+++ b/packages/relay/src/peer/load-news.test.ts
@@ -66,14 +66,14 @@
 		const endpoints = new Endpoints(context, {
 			onPause: ignore, onLimit: ignore, onDrain: ignore, onRoom: ignore, onGone: ignore, subset: () => wholeFleet,
 		});
-		const news = new LoadNews({context, endpoints, send: ignore});
+		const gossip = new LoadNews({context, endpoints, send: ignore});
 		for (let hosts = 1; hosts <= 195; hosts += 1) {
-			news.setMembers(makeMembers(hosts));
+			gossip.setMembers(makeMembers(hosts));
 		}
 
 		expect(dealt).toEqual([]);
-		expect(news.subset.count).toEqual(8);
-		expect(news.subset.count).toEqual(8);
+		expect(gossip.subset.count).toEqual(8);
+		expect(gossip.subset.count).toEqual(8);
 		expect(dealt).toEqual(['subsetChanged']);
 	});
 
@@ -83,26 +83,26 @@
 		it(name, () => {
 			const context = makeContext();
 			const received = new Map<string, string[]>();
-			const news = new LoadNews({
+			const gossip = new LoadNews({
 				context, endpoints: new Endpoints(context, {
 					onPause: ignore, onLimit: ignore, onDrain: ignore, onRoom: ignore, onGone: ignore, subset: () => wholeFleet,
 				}), send(host, {kind}) {
 					received.set(host, [...received.get(host) ?? [], kind]);
 				},
 			});
-			news.setMembers(makeMembers(hosts));
+			gossip.setMembers(makeMembers(hosts));
 			for (const step of steps) {
 				if (step === 'reading') {
-					news.tellReading('e', 100);
+					gossip.tellReading('e', 100);
 				} else if (step === 'waiting') {
-					news.tellWaiting('s', 1);
+					gossip.tellWaiting('s', 1);
 				} else {
 					context.clock.advance(step.wait);
 				}
 			}
 
 			expect([...received.values()][0] ?? []).toEqual([...sent]);
-			expect(received.size).toEqual(sent.length === 0 ? 0 : Math.ceil(hosts / news.subset.count) - 1);
+			expect(received.size).toEqual(sent.length === 0 ? 0 : Math.ceil(hosts / gossip.subset.count) - 1);
 		});
 	}
 });
