--- a/packages/relay/src/access/freshness.test.ts
+++ b/packages/relay/src/access/freshness.test.ts
@@ -225,7 +225,7 @@
 		await refreshing;
 		expect(fixture.freshness.mayRefuse(arrivedAt)).toEqual(false);
 		fixture.isUp = true;
-		fixture.routing.fallBehind();
+		fixture.routing.markBehind();
 		await fixture.run(400);
 		const later = fixture.freshness.refreshForRefusal(fixture.clock.now(), 400);
 		await fixture.run(500);
@@ -236,7 +236,7 @@
 	it('an unreadable version voids the confirmation until a readable one arrives', async () => {
 		const fixture = new Fixture();
 		fixture.isUp = true;
-		fixture.routing.fallBehind();
+		fixture.routing.markBehind();
 		expect(await fixture.arrive()).toEqual(false);
 		fixture.routing.offer(makeRouting(2), 'test');
 		await fixture.run(400);
--- a/packages/relay/src/core/context.ts
+++ b/packages/relay/src/core/context.ts
@@ -29,16 +29,16 @@
 };
 
 /** Subset of the context that most components need. */
-export type Bookkeeping = Pick<RelayContext, 'clock' | 'log' | 'metrics' | 'random'>;
+export type BaseContext = Pick<RelayContext, 'clock' | 'log' | 'metrics' | 'random'>;
 
 /** Dependencies from which the context is created. */
-export type RelayParts = Pick<RelayContext, 'settings' | 'clock' | 'random' | 'log' | 'metrics' | 'dialect' | 'directory'> & {
+export type RelayContextParts = Pick<RelayContext, 'settings' | 'clock' | 'random' | 'log' | 'metrics' | 'dialect' | 'directory'> & {
 	/** Wall-clock time in milliseconds; used only for the incarnation number and the timeline. */
 	readonly wall: () => number;
 };
 
 /** Creates the context of a new incarnation. */
-export function makeRelayContext({wall, ...parts}: RelayParts): RelayContext {
+export function makeRelayContext({wall, ...parts}: RelayContextParts): RelayContext {
 	const {settings, metrics} = parts;
 	const hybrid = new HybridClock(settings.host, wall);
 	return {
--- a/packages/relay/src/core/dialect.ts
+++ b/packages/relay/src/core/dialect.ts
@@ -12,7 +12,7 @@
 	/** Id of this attempt; each retry by the caller has its own. */
 	readonly id: string | undefined;
 	/** Caller's timeout in milliseconds; undefined if the request states none. */
-	readonly patienceMs: number | undefined;
+	readonly timeoutMs: number | undefined;
 	readonly promptTokens: number;
 	/** Caller's estimate of the response length in tokens: its median, not an upper bound. */
 	readonly answerTokens: number;
@@ -26,7 +26,7 @@
 export type SendFacts = {
 	readonly endpoint: Endpoint;
 	/** Time until the request's deadline, in milliseconds. */
-	readonly leftMs: number;
+	readonly remainingMs: number;
 	readonly isPrefill?: boolean;
 	/** Prefill replica that processed the prompt, and the id of the result there. */
 	readonly source?: {readonly address: string; readonly result: string};
@@ -38,7 +38,7 @@
 };
 
 /** Metadata of an endpoint's response. */
-export type AnswerFacts = {
+export type ResponseFacts = {
 	/** Id of the request that it responds to. */
 	readonly id: string | undefined;
 	/** Whether the response carries the header that endpoints add; a successful status without it does not count as a success. */
@@ -46,9 +46,9 @@
 	/** Whether the endpoint states that it did not run the request. */
 	readonly isNotRun: boolean;
 	/** Whether the address now belongs to another endpoint. */
-	readonly isOther: boolean;
+	readonly isAddressReassigned: boolean;
 	/** Keep-alive timeout of the idle connection, in milliseconds; undefined: less than a second. */
-	readonly restMs: number | undefined;
+	readonly keepAliveMs: number | undefined;
 	/** Limits and state that the endpoint reports about itself. */
 	readonly signals: EndpointSignals;
 };
@@ -76,12 +76,12 @@
 	/** Digest of the key that a caller presents, from the raw headers; undefined if there is no key, more than one, or a malformed one. The key itself is not stored. */
 	readKeyDigest(rawHeaders: readonly string[]): string | undefined;
 	/** Whether a header (lower-case name) identifies the caller; such headers are not forwarded if workspaces have keys. */
-	isIdentity(header: string): boolean;
+	identifiesCaller(header: string): boolean;
 	/** Whether a caller's header (lower-case name) is forwarded. */
-	isPassed(header: string): boolean;
+	isForwarded(header: string): boolean;
 	/** Headers to send to an endpoint, as a flat list of alternating names and values. */
 	sendHeaders(facts: SendFacts): string[];
-	readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
+	readResponse(status: number, headers: IncomingHttpHeaders): ResponseFacts;
 	/** Call that reserves memory for a request of `tokens` tokens for `lifeMs` milliseconds. */
 	reserve(tokens: number, lifeMs: number): EndpointCall;
 	/** Id of the reservation; undefined if the response contains none. */
--- a/packages/relay/src/core/directory-change-applier.ts
+++ b/packages/relay/src/core/directory-change-applier.ts
@@ -5,13 +5,13 @@
  */
 import {type Position} from '@gatehead/schema/position';
 import {type Endpoints} from '../upstream/endpoints.js';
-import {type Bookkeeping} from './context.js';
+import {type BaseContext} from './context.js';
 import {type Change, type Changes} from './directory.js';
 import {type RoutingState} from './routing-state.js';
 
 /** Dependencies of `DirectoryChangeApplier`. */
 export type DirectoryChangeApplierParts = {
-	readonly context: Bookkeeping;
+	readonly context: BaseContext;
 	readonly endpoints: Endpoints;
 	readonly routing: RoutingState;
 	/** Called with the position at which the configuration was written. */
@@ -48,7 +48,7 @@
 		},
 		routingUnreadable: ({change: {detail}}) => {
 			this.#reportUnreadable('routing', detail);
-			this.#parts.routing.fallBehind();
+			this.#parts.routing.markBehind();
 		},
 		unreadable: ({change: {detail}}) => {
 			this.#reportUnreadable('item', detail);
--- a/packages/relay/src/core/directory-watch.test.ts
+++ b/packages/relay/src/core/directory-watch.test.ts
@@ -119,26 +119,26 @@
 type WatchCase = {
 	readonly name: string;
 	readonly steps: readonly Step[];
-	readonly isDown: boolean;
+	readonly isUnavailable: boolean;
 	/** Whether the endpoint is still considered ready. */
 	readonly isReady: boolean;
 };
 
 const watchCases: readonly WatchCase[] = [
 	{
-		name: 'one failed watch is not an outage', steps: [{answers: ['fails', 'answers']}, 'recheck', {wait: 400}, 'endpointRemoved'], isDown: false, isReady: false,
+		name: 'one failed watch is not an outage', steps: [{answers: ['fails', 'answers']}, 'recheck', {wait: 400}, 'endpointRemoved'], isUnavailable: false, isReady: false,
 	},
 	{
-		name: 'two failed reads are an outage', steps: [{answers: ['fails', 'fails', 'fails', 'fails']}, 'recheck', {wait: 1200}, 'endpointRemoved'], isDown: true, isReady: true,
+		name: 'two failed reads are an outage', steps: [{answers: ['fails', 'fails', 'fails', 'fails']}, 'recheck', {wait: 1200}, 'endpointRemoved'], isUnavailable: true, isReady: true,
 	},
 	{
-		name: 'a watch aborted by this host is not an outage', steps: [{answers: ['answers']}, 'recheck', {wait: 10}, 'endpointRemoved'], isDown: false, isReady: false,
+		name: 'a watch aborted by this host is not an outage', steps: [{answers: ['answers']}, 'recheck', {wait: 10}, 'endpointRemoved'], isUnavailable: false, isReady: false,
 	},
 	{
-		name: 'a host that is no longer a reader accepts removals from others despite its own failed reads', steps: [{answers: ['fails', 'fails', 'fails', 'fails']}, 'recheck', {wait: 400}, 'stopReading', {wait: 1500}, {wait: 600}, {wait: 2500}, 'endpointRemoved'], isDown: false, isReady: false,
+		name: 'a host that is no longer a reader accepts removals from others despite its own failed reads', steps: [{answers: ['fails', 'fails', 'fails', 'fails']}, 'recheck', {wait: 400}, 'stopReading', {wait: 1500}, {wait: 600}, {wait: 2500}, 'endpointRemoved'], isUnavailable: false, isReady: false,
 	},
 	{
-		name: 'an unresponsive directory is detected soon after a recheck', steps: ['recheck', {wait: 1600}, {wait: 2000}, {wait: 2000}], isDown: true, isReady: true,
+		name: 'an unresponsive directory is detected soon after a recheck', steps: ['recheck', {wait: 1600}, {wait: 2000}, {wait: 2000}], isUnavailable: true, isReady: true,
 	},
 ];
 
@@ -160,7 +160,7 @@
 	const routing = new RoutingState(context, ignore);
 	const role = {isReader: true, isShortWatcher: false};
 	const watch = new DirectoryWatch({
-		context, endpoints, routing, isReader: () => role.isReader, isShortWatcher: () => role.isShortWatcher, onRead: ignore, onNews: ignore,
+		context, endpoints, routing, isReader: () => role.isReader, isShortWatcher: () => role.isShortWatcher, onRead: ignore, onChange: ignore,
 	});
 	return {
 		clock, endpoints, watch, routing, role,
@@ -190,7 +190,7 @@
 	}
 
 	for (const {
-		name, steps, isDown, isReady,
+		name, steps, isUnavailable, isReady,
 	} of watchCases) {
 		it(name, async () => {
 			const directory = new ScriptedDirectory();
@@ -230,7 +230,7 @@
 			}
 
 			watch.stop();
-			expect({isDown: watch.isDown, isReady: endpoints.book.isReady('e')}).toEqual({isDown, isReady});
+			expect({isUnavailable: watch.isUnavailable, isReady: endpoints.book.isReady('e')}).toEqual({isUnavailable, isReady});
 		});
 	}
 
--- a/packages/relay/src/core/directory-watch.ts
+++ b/packages/relay/src/core/directory-watch.ts
@@ -8,7 +8,7 @@
 import {jitter} from '@gatehead/policy/utils/random';
 import {isCovered, type Position} from '@gatehead/schema/position';
 import {type Endpoints} from '../upstream/endpoints.js';
-import {type Bookkeeping, type RelayContext} from './context.js';
+import {type BaseContext, type RelayContext} from './context.js';
 import {DirectoryError, type Changes} from './directory.js';
 import {DirectoryHistory} from './directory-history.js';
 import {DirectoryChangeApplier} from './directory-change-applier.js';
@@ -46,7 +46,7 @@
 
 /** Dependencies of `DirectoryWatch`. */
 export type DirectoryWatchParts = {
-	readonly context: Bookkeeping & Pick<RelayContext, 'directory' | 'settings'>;
+	readonly context: BaseContext & Pick<RelayContext, 'directory' | 'settings'>;
 	readonly endpoints: Endpoints;
 	readonly routing: RoutingState;
 	/** Whether this host reads the directory itself; otherwise other hosts send it updates. */
@@ -56,7 +56,7 @@
 	/** Called with the outcome of each read of the directory. */
 	readonly onRead: (outcome: ReadOutcome) => void;
 	/** Called when a read returned changes that other hosts may lack. */
-	readonly onNews: () => void;
+	readonly onChange: () => void;
 };
 
 /** Reader of the directory at one host. */
@@ -101,7 +101,7 @@
 	}
 
 	/** Whether the directory is considered unavailable. */
-	get isDown(): boolean {
+	get isUnavailable(): boolean {
 		return this.#isUnavailable;
 	}
 
@@ -385,7 +385,7 @@
 		this.#changeApplier.apply(changes);
 		this.advance(changes.position, true);
 		if (changes.changes.length > 0 || isNewEpoch) {
-			this.#parts.onNews();
+			this.#parts.onChange();
 		}
 	}
 }
--- a/packages/relay/src/core/routing-state.ts
+++ b/packages/relay/src/core/routing-state.ts
@@ -6,11 +6,11 @@
  */
 import {RouteTable} from '@gatehead/policy/relay/route-table';
 import {type Routing} from '@gatehead/schema/routing';
-import {type Bookkeeping} from './context.js';
+import {type BaseContext} from './context.js';
 
 /** Holds the active configuration. */
 export class RoutingState {
-	readonly #context: Bookkeeping;
+	readonly #context: BaseContext;
 	readonly #onAdopted: (routing: Routing) => void;
 	#table: RouteTable | undefined;
 	/** Time on this process's monotonic clock; newer versions may have been published since. */
@@ -18,7 +18,7 @@
 	/** Whether a newer version was published that this host cannot parse. */
 	#isBehind = false;
 
-	constructor(context: Bookkeeping, onAdopted: (routing: Routing) => void) {
+	constructor(context: BaseContext, onAdopted: (routing: Routing) => void) {
 		this.#context = context;
 		this.#onAdopted = onAdopted;
 	}
@@ -56,7 +56,7 @@
 	}
 
 	/** Records that a version was published that this host cannot parse. */
-	fallBehind(): void {
+	markBehind(): void {
 		this.#isBehind = true;
 	}
 
--- a/packages/relay/src/front/caller-front.ts
+++ b/packages/relay/src/front/caller-front.ts
@@ -175,7 +175,7 @@
 		const target = request.url ?? '/';
 		const authority = request.headers.host ?? '';
 		const {table, route, service, workspace} = await this.#resolver.resolve({
-			authority, target, keyDigest: dialect.readKeyDigest(request.rawHeaders), arrivedAt, patienceMs: facts.patienceMs,
+			authority, target, keyDigest: dialect.readKeyDigest(request.rawHeaders), arrivedAt, patienceMs: facts.timeoutMs,
 		});
 		const content = new RequestContent({
 			authority, method: request.method ?? 'GET', target, workspace: workspace?.name, body,
@@ -185,7 +185,7 @@
 			fail('contentHeld', {retryAfterMs: holdMs, detail: content.digest});
 		}
 
-		const patienceMs = Math.min(facts.patienceMs ?? route.timeoutMs, route.timeoutMs);
+		const patienceMs = Math.min(facts.timeoutMs ?? route.timeoutMs, route.timeoutMs);
 		const cost = await accessControl.charge(workspace, facts);
 		budgets.recordRequest(service.name);
 		intake.patience = clock.after(arrivedAt + patienceMs - clock.now(), () => {
@@ -222,15 +222,15 @@
 	}
 
 	/** A caller that wants the rest of a stream has been here before, whatever its patience says. */
-	#isSecondTry(route: string, {patienceMs, lastEventId}: RequestFacts): boolean {
-		const isLessPatient = patienceMs !== undefined && this.#secondTries.note(route, patienceMs);
+	#isSecondTry(route: string, {timeoutMs, lastEventId}: RequestFacts): boolean {
+		const isLessPatient = timeoutMs !== undefined && this.#secondTries.note(route, timeoutMs);
 		return isLessPatient || lastEventId !== undefined;
 	}
 
 	/** Where workspaces have keys, who the caller is goes no further. */
 	#passedHeaders(request: IncomingMessage, hasWorkspaces: boolean): string[] {
 		const {dialect} = this.#parts.context;
-		return passHeaders(request, name => name !== 'content-length' && name !== 'expect' && dialect.isPassed(name) && !(hasWorkspaces && dialect.isIdentity(name)));
+		return passHeaders(request, name => name !== 'content-length' && name !== 'expect' && dialect.isForwarded(name) && !(hasWorkspaces && dialect.identifiesCaller(name)));
 	}
 
 	/** Names a request that came without a name, for the log. */
@@ -276,7 +276,7 @@
 			sends,
 			runs,
 			secondTry: isCallerRetry,
-			patienceMs: job.facts.patienceMs,
+			patienceMs: job.facts.timeoutMs,
 			targetMs: route.targetMs,
 			gapTargetMs: route.gapTargetMs,
 			longestGapMs,
--- a/packages/relay/src/peer/config-propagation.test.ts
+++ b/packages/relay/src/peer/config-propagation.test.ts
@@ -354,11 +354,11 @@
 			endpoints,
 			routing,
 			isReader: () => fleet.isReader(),
-			isShortWatcher: () => fleet.isFirstReader(),
+			isShortWatcher: () => fleet.isPrimaryReader(),
 			onRead(outcome) {
-				fleet.watcherFailover.noteRead(outcome);
+				fleet.watcherFailover.handleRead(outcome);
 			},
-			onNews() {
+			onChange() {
 				fleet.announce();
 			},
 		});
@@ -374,7 +374,7 @@
 }
 
 const dialect: Dialect = {
-	readyPath: '', lookupPath: '', readRequest: unused, readKeyDigest: unused, isIdentity: unused, isPassed: unused, sendHeaders: unused, readAnswer: unused, reserve: unused, readReservation: unused, cancelReservation: unused, readPrefill: unused, freeResult: unused, orderStage: unused, readLookup: unused, writeLookup: unused,
+	readyPath: '', lookupPath: '', readRequest: unused, readKeyDigest: unused, identifiesCaller: unused, isForwarded: unused, sendHeaders: unused, readResponse: unused, reserve: unused, readReservation: unused, cancelReservation: unused, readPrefill: unused, freeResult: unused, orderStage: unused, readLookup: unused, writeLookup: unused,
 };
 
 /** Fault injected just before a configuration is published. */
--- a/packages/relay/src/peer/directory-sync.test.ts
+++ b/packages/relay/src/peer/directory-sync.test.ts
@@ -133,7 +133,7 @@
 					list: unread, watch: unread, readPosition: unread, close: ignore,
 				},
 			},
-			endpoints, routing, isReader: () => false, isShortWatcher: () => false, onRead: ignore, onNews: ignore,
+			endpoints, routing, isReader: () => false, isShortWatcher: () => false, onRead: ignore, onChange: ignore,
 		});
 		const sync = new DirectorySync({
 			context,
--- a/packages/relay/src/peer/fleet.ts
+++ b/packages/relay/src/peer/fleet.ts
@@ -24,7 +24,7 @@
 import {type FleetParts, type HostLinks} from './fleet-parts.js';
 import {SeedContact} from './seed-contact.js';
 import {KnownHosts} from './known-hosts.js';
-import {LoadNews} from './load-news.js';
+import {LoadGossip} from './load-gossip.js';
 import {WatcherFailover} from './watcher-failover.js';
 
 /** Delay before membership changes are announced, in milliseconds, to batch them. */
@@ -40,7 +40,7 @@
 export class Fleet {
 	readonly membership: Membership;
 	/** Gossip about load among hosts that share endpoints. */
-	readonly load: LoadNews;
+	readonly load: LoadGossip;
 	/** Evidence that this host's configuration, with its list of keys, is up to date. */
 	readonly freshness: Freshness;
 	/** Failover of the directory watcher role. */
@@ -52,7 +52,7 @@
 	/** Time of the last membership change. */
 	changedAt: number;
 	/** Whether another host was the coordinator at any time since this process started. */
-	hasFollowed = false;
+	hasSeenOtherCoordinator = false;
 	readonly #parts: FleetParts;
 	readonly #links: HostLinks;
 	readonly #seedContact: SeedContact;
@@ -155,7 +155,7 @@
 			this.#links.send(host, message);
 		};
 
-		this.load = new LoadNews({context, endpoints: parts.endpoints, send});
+		this.load = new LoadGossip({context, endpoints: parts.endpoints, send});
 		const renew = (host: string) => {
 			this.#links.renew(host);
 		};
@@ -235,7 +235,7 @@
 	}
 
 	/** Whether this host is the first of the readers that reach the directory; it uses short watches to detect dead connections. */
-	isFirstReader(): boolean {
+	isPrimaryReader(): boolean {
 		const alive = this.#listAlive();
 		const {answering} = viewReading(alive);
 		const first = answering[0] ?? rankFirst(readerMatter, alive.map(({host}) => host));
@@ -243,7 +243,7 @@
 	}
 
 	/** Whether this host ranks first among those alive, and so performs a duty for the fleet. There is no consensus: hosts with different views may disagree. */
-	isFirst(duty = 'orders'): boolean {
+	isCoordinator(duty = 'orders'): boolean {
 		const alive = this.#listAlive().map(({host}) => host);
 		return rankFirst(duty, alive) === this.#parts.context.self.host;
 	}
@@ -277,7 +277,7 @@
 	}
 
 	/** Sends the pause of a failing endpoint to all reachable hosts. */
-	tellPause(pause: Pause): void {
+	announcePause(pause: Pause): void {
 		this.#broadcast({kind: 'paused', pause});
 	}
 
@@ -287,7 +287,7 @@
 	}
 
 	/** Sends reports of request contents that crash endpoints to all reachable hosts. */
-	tellCrashes(reports: readonly CrashReport[]): void {
+	announceCrashes(reports: readonly CrashReport[]): void {
 		this.#broadcast({kind: 'crashes', reports: [...reports]});
 	}
 
@@ -308,7 +308,7 @@
 		if (states !== this.#knownStates) {
 			this.#knownStates = states;
 			this.changedAt = this.#parts.context.clock.now();
-			this.hasFollowed ||= !this.isFirst();
+			this.hasSeenOtherCoordinator ||= !this.isCoordinator();
 			this.load.setMembers(this.membership.members.list());
 			this.#knownHosts.update(this.membership.members.list());
 			this.quotas.handleMembershipChange();
--- a/packages/relay/src/peer/load-news.test.ts
+++ b/packages/relay/src/peer/load-gossip.test.ts
@@ -9,7 +9,7 @@
 import {expect} from 'earl';
 import {Endpoints} from '../upstream/endpoints.js';
 import {Metrics} from '../utils/metrics.js';
-import {LoadNews} from './load-news.js';
+import {LoadGossip} from './load-gossip.js';
 
 const settings = relaySettings.parse({
 	host: 'host-0', hall: 'one', region: 'r', listen: {
@@ -66,7 +66,7 @@
 		const endpoints = new Endpoints(context, {
 			onPause: ignore, onLimit: ignore, onDrain: ignore, onRoom: ignore, onGone: ignore, subset: () => wholeFleet,
 		});
-		const gossip = new LoadNews({context, endpoints, send: ignore});
+		const gossip = new LoadGossip({context, endpoints, send: ignore});
 		for (let hosts = 1; hosts <= 195; hosts += 1) {
 			gossip.setMembers(makeMembers(hosts));
 		}
@@ -83,7 +83,7 @@
 		it(name, () => {
 			const context = makeContext();
 			const received = new Map<string, string[]>();
-			const gossip = new LoadNews({
+			const gossip = new LoadGossip({
 				context, endpoints: new Endpoints(context, {
 					onPause: ignore, onLimit: ignore, onDrain: ignore, onRoom: ignore, onGone: ignore, subset: () => wholeFleet,
 				}), send(host, {kind}) {
@@ -93,9 +93,9 @@
 			gossip.setMembers(makeMembers(hosts));
 			for (const step of steps) {
 				if (step === 'reading') {
-					gossip.tellReading('e', 100);
+					gossip.announcePrompt('e', 100);
 				} else if (step === 'waiting') {
-					gossip.tellWaiting('s', 1);
+					gossip.announceWaiting('s', 1);
 				} else {
 					context.clock.advance(step.wait);
 				}
--- a/packages/relay/src/peer/load-news.ts
+++ b/packages/relay/src/peer/load-gossip.ts
@@ -34,7 +34,7 @@
 };
 
 /** Exchanges load with the peers in this host's subset. */
-export class LoadNews {
+export class LoadGossip {
 	readonly #parts: LoadGossipParts;
 	readonly #budget: GossipBudget;
 	readonly #waiting = new WaitingCounts();
@@ -69,7 +69,7 @@
 	}
 
 	/** Announces a prompt sent to a prefill replica. */
-	tellReading(endpoint: string, tokens: number): void {
+	announcePrompt(endpoint: string, tokens: number): void {
 		if (isOff(this.#parts.context, 'peerReadings')) {
 			return;
 		}
@@ -78,7 +78,7 @@
 	}
 
 	/** Announces memory reserved at a decode replica for an estimated `heldMs` milliseconds. */
-	tellPlaced(endpoint: string, tokens: number, heldMs: number): void {
+	announceReservation(endpoint: string, tokens: number, heldMs: number): void {
 		if (isOff(this.#parts.context, 'peerUse')) {
 			return;
 		}
@@ -89,7 +89,7 @@
 	}
 
 	/** Announces the number of requests that wait for a service at this host. */
-	tellWaiting(service: string, count: number): void {
+	announceWaiting(service: string, count: number): void {
 		if (isOff(this.#parts.context, 'peerWaiting')) {
 			return;
 		}
@@ -99,7 +99,7 @@
 	}
 
 	/** Number of requests that wait for a service at the peers. */
-	waitingElsewhere(service: string): number {
+	countWaitingAtPeers(service: string): number {
 		return this.#waiting.sum(service, this.#parts.context.clock.now());
 	}
 
--- a/packages/relay/src/peer/watcher-failover.test.ts
+++ b/packages/relay/src/peer/watcher-failover.test.ts
@@ -145,7 +145,7 @@
 					announced.set(names[0] ?? '', step.firstAnnounces);
 					failover.handleMembershipChange();
 				} else if ('read' in step) {
-					failover.noteRead(step.read);
+					failover.handleRead(step.read);
 				} else {
 					clock.advance(step.wait);
 				}
--- a/packages/relay/src/peer/watcher-failover.ts
+++ b/packages/relay/src/peer/watcher-failover.ts
@@ -80,7 +80,7 @@
 	}
 
 	/** Reacts to the outcome of a read of the directory. */
-	noteRead(outcome: ReadOutcome): void {
+	handleRead(outcome: ReadOutcome): void {
 		const {listAlive, self} = this.#parts;
 		const alive = listAlive();
 		if (isDirectoryReader(self(), alive)) {
@@ -135,7 +135,7 @@
 		this.#triedAt = clock.now();
 		this.#isTakingOver = true;
 		log('readerStandsIn', {detail: 'the regular directory watchers are unavailable'});
-		// The outcome of the first read arrives at `noteRead`
+		// The outcome of the first read arrives at `handleRead`
 		watch().recheck();
 		watch().wake();
 	}
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -7,7 +7,7 @@
 import {type RelaySettings} from '@gatehead/schema/relay-settings';
 import {type RelayStatus} from '@gatehead/schema/relay-status';
 import {AccessControl} from './access/access-control.js';
-import {makeRelayContext, type RelayContext, type RelayParts} from './core/context.js';
+import {makeRelayContext, type RelayContext, type RelayContextParts} from './core/context.js';
 import {DirectoryWatch} from './core/directory-watch.js';
 import {RoutingState} from './core/routing-state.js';
 import {CallerFront} from './front/caller-front.js';
@@ -48,12 +48,12 @@
 	readonly #orders: StageOrders;
 	#isStopping = false;
 
-	constructor(parts: RelayParts) {
+	constructor(parts: RelayContextParts) {
 		const context = makeRelayContext(parts);
 		this.context = context;
 		this.endpoints = new Endpoints(context, {
 			onPause: pause => {
-				this.fleet.tellPause(pause);
+				this.fleet.announcePause(pause);
 			},
 			onGone: endpoint => {
 				this.guard.noteGone(endpoint);
@@ -78,9 +78,9 @@
 			context,
 			hasEnded: async endpoint => endCheck.hasEnded(endpoint),
 			tell: reports => {
-				this.fleet.tellCrashes(reports);
+				this.fleet.announceCrashes(reports);
 			},
-			isTrialHost: content => this.fleet.isFirst(content),
+			isTrialHost: content => this.fleet.isCoordinator(content),
 		});
 		this.fleet = new Fleet({
 			context, guard: this.guard, endpoints: this.endpoints, routing: this.routing, watch: () => this.#watch, measureLoad: () => Math.min(1, this.#front.open / context.settings.limits.requests),
@@ -90,11 +90,11 @@
 			endpoints: this.endpoints,
 			routing: this.routing,
 			isReader: () => this.fleet.isReader(),
-			isShortWatcher: () => this.fleet.isFirstReader(),
+			isShortWatcher: () => this.fleet.isPrimaryReader(),
 			onRead: outcome => {
-				this.fleet.watcherFailover.noteRead(outcome);
+				this.fleet.watcherFailover.handleRead(outcome);
 			},
-			onNews: () => {
+			onChange: () => {
 				this.fleet.announce();
 			},
 		});
@@ -148,7 +148,7 @@
 			routingVersion: this.routing.version,
 			directoryRevision: this.#watch.revision,
 			directoryEpoch: this.#watch.position?.epoch,
-			isDirectoryDown: this.#watch.isDown,
+			isDirectoryDown: this.#watch.isUnavailable,
 			open: this.#front.open,
 			waiting: this.#work.admission.waiting,
 			retryLeft: Math.floor(this.#work.budgets.lowestLeft()),
--- a/packages/relay/src/upstream/endpoints.ts
+++ b/packages/relay/src/upstream/endpoints.ts
@@ -19,7 +19,7 @@
 import {ignore} from '@gatehead/policy/utils/ignore';
 import {type RateLimit} from '@gatehead/schema/relay-message';
 import {type Endpoint} from '@gatehead/schema/routing';
-import {type Bookkeeping, type RelayContext} from '../core/context.js';
+import {type BaseContext, type RelayContext} from '../core/context.js';
 import {isOff} from '../core/experiment.js';
 import {type Connections} from './connections.js';
 import {EndpointUse} from './endpoint-use.js';
@@ -39,7 +39,7 @@
 /** Changes by which an endpoint stops to take work for good. */
 const departing: ReadonlySet<BookChange['change']> = new Set(['leaving', 'outdated', 'gone']);
 
-type EndpointContext = Bookkeeping & Pick<RelayContext, 'settings'>;
+type EndpointContext = BaseContext & Pick<RelayContext, 'settings'>;
 
 /** Who hears of changes, and knows which subset this host belongs to. */
 export type EndpointListener = {
--- a/packages/relay/src/upstream/own-calls.ts
+++ b/packages/relay/src/upstream/own-calls.ts
@@ -4,7 +4,7 @@
  */
 import {type Endpoint} from '@gatehead/schema/routing';
 import {type EndpointCall} from '../core/dialect.js';
-import {type Bookkeeping, type RelayContext} from '../core/context.js';
+import {type BaseContext, type RelayContext} from '../core/context.js';
 import {noteRest, spoil} from './connections.js';
 import {type Endpoints} from './endpoints.js';
 import {exchange, ExchangeError, readBody} from './exchange.js';
@@ -28,7 +28,7 @@
 		| {readonly kind: 'full'}
 		| {readonly kind: 'failed'; readonly reason: string};
 
-type OwnCallContext = Bookkeeping & Pick<RelayContext, 'dialect' | 'settings'>;
+type OwnCallContext = BaseContext & Pick<RelayContext, 'dialect' | 'settings'>;
 
 /** Makes the relay's own calls. */
 export class OwnCalls {
@@ -111,8 +111,8 @@
 			clock, connectMs: settings.timing.connectMs, headMs, signal,
 		});
 		const status = response.statusCode ?? 0;
-		const facts = dialect.readAnswer(status, response.headers);
-		noteRest(response.socket, facts.restMs);
+		const facts = dialect.readResponse(status, response.headers);
+		noteRest(response.socket, facts.keepAliveMs);
 		if (facts.id !== undefined) {
 			// An answer to somebody's request: late, or twice
 			spoil(response.socket);
@@ -120,7 +120,7 @@
 			throw new ExchangeError('reset', true, new Error('an answer to another request'));
 		}
 
-		if (!facts.isOther) {
+		if (!facts.isAddressReassigned) {
 			this.#endpoints.noteSignals(endpoint, {signals: facts.signals, sentAt: clock.now(), isComplete: false});
 		}
 
--- a/packages/relay/src/upstream/sender.ts
+++ b/packages/relay/src/upstream/sender.ts
@@ -7,7 +7,7 @@
 import {type Outcome} from '@gatehead/policy/relay/endpoint-health';
 import {type Permit} from '@gatehead/policy/relay/rate-permits';
 import {type Endpoint} from '@gatehead/schema/routing';
-import {type AnswerFacts, type SendFacts} from '../core/dialect.js';
+import {type ResponseFacts, type SendFacts} from '../core/dialect.js';
 import {type RelayContext} from '../core/context.js';
 import {promises} from '../front/reply.js';
 import {timeLeft, type Job} from '../work/job.js';
@@ -28,7 +28,7 @@
 /** What came of a send. */
 export type Sent
 	/** An answer of this endpoint to this request; `touch` is called when a part of its body has come, `end` must be called with what became of it. */
-	= | {readonly kind: 'answer'; readonly response: IncomingMessage; readonly facts: AnswerFacts; readonly touch: () => void; readonly end: (outcome: Outcome, reason?: string) => void}
+	= | {readonly kind: 'answer'; readonly response: IncomingMessage; readonly facts: ResponseFacts; readonly touch: () => void; readonly end: (outcome: Outcome, reason?: string) => void}
 	/** It did not run there. */
 		| {readonly kind: 'notRun'; readonly reason: ExchangeFault | 'refused' | 'otherEndpoint' | 'held' | 'limited'; readonly status: number}
 	/** It may have run. */
@@ -39,7 +39,7 @@
 	readonly job: Job;
 	readonly step: Step;
 	readonly endpoint: Endpoint;
-	readonly facts: Omit<SendFacts, 'endpoint' | 'leftMs' | 'workspace'>;
+	readonly facts: Omit<SendFacts, 'endpoint' | 'remainingMs' | 'workspace'>;
 	/** Memory that it takes there, in tokens. */
 	readonly tokens: number;
 	/** Time until the answer's head must be there. */
@@ -156,35 +156,35 @@
 		const {clock, dialect} = this.#context;
 		const length = job.body === undefined ? [] : ['Content-Length', String(job.body.length)];
 		return [...job.headers, ...length, ...dialect.sendHeaders({
-			...facts, endpoint, workspace: job.workspace?.name, leftMs: Math.floor(timeLeft(job, clock.now())),
+			...facts, endpoint, workspace: job.workspace?.name, remainingMs: Math.floor(timeLeft(job, clock.now())),
 		})];
 	}
 
 	#judge(send: Send, response: IncomingMessage, finish: () => void, sentAt: number): Sent {
 		const {job, step, endpoint} = send;
 		const status = response.statusCode ?? 0;
-		const facts = this.#context.dialect.readAnswer(status, response.headers);
+		const facts = this.#context.dialect.readResponse(status, response.headers);
 		const {socket} = response;
-		noteRest(socket, facts.restMs);
+		noteRest(socket, facts.keepAliveMs);
 		const end = (outcome: Outcome) => {
 			finish();
 			this.#endpoints.judge(endpoint, outcome);
 		};
 
 		const isForeign = facts.id !== undefined && facts.id !== job.id;
-		if (!facts.isOther && !isForeign) {
+		if (!facts.isAddressReassigned && !isForeign) {
 			// A garbled response may lack any header, so only one that names the request shows that a limit has ended
 			this.#endpoints.noteSignals(endpoint, {signals: facts.signals, sentAt, isComplete: facts.id === job.id});
 		}
 
-		if (facts.isNotRun || facts.isOther) {
+		if (facts.isNotRun || facts.isAddressReassigned) {
 			this.#takeBack(send);
 			response.resume();
 			response.on('error', () => {
 				// The refusal's head has said all; its body may break off
 			});
 			end('refused');
-			if (!facts.isOther) {
+			if (!facts.isAddressReassigned) {
 				this.#guard.noteLife(endpoint, sentAt);
 			}
 
@@ -228,13 +228,13 @@
 		};
 	}
 
-	#refused(send: Send, {isOther}: AnswerFacts, status: number): Sent {
+	#refused(send: Send, {isAddressReassigned}: ResponseFacts, status: number): Sent {
 		const {endpoint} = send;
-		if (isOther) {
+		if (isAddressReassigned) {
 			this.#endpoints.note(this.#endpoints.book.drop(endpoint.id, this.#context.clock.now()), 'endpoint');
 		}
 
-		return this.#note(send, {kind: 'notRun', reason: isOther ? 'otherEndpoint' : 'refused', status}, {status});
+		return this.#note(send, {kind: 'notRun', reason: isAddressReassigned ? 'otherEndpoint' : 'refused', status}, {status});
 	}
 
 	/** The endpoint's own word that it did not run. */
@@ -288,6 +288,6 @@
 }
 
 /** Only a success that carries the endpoint's own mark and the request's name counts. */
-function isUnmarkedSuccess(step: Step, status: number, {isMarked, id}: AnswerFacts): boolean {
+function isUnmarkedSuccess(step: Step, status: number, {isMarked, id}: ResponseFacts): boolean {
 	return step !== 'prefill' && status >= leastSuccess && status < leastRedirect && (!isMarked || id === undefined);
 }
--- a/packages/relay/src/work/decode-prefill.test.ts
+++ b/packages/relay/src/work/decode-prefill.test.ts
@@ -46,7 +46,7 @@
 				clock,
 				endpoints: {queueOf: () => queue},
 				news: {
-					tellReading(endpoint, count) {
+					announcePrompt(endpoint, count) {
 						announced.push(`${endpoint} ${count}`);
 					},
 				},
--- a/packages/relay/src/work/decode-prefill.ts
+++ b/packages/relay/src/work/decode-prefill.ts
@@ -6,13 +6,13 @@
  */
 import {type Reading, type ReadingQueue} from '@gatehead/policy/relay/reading-queue';
 import {type Clock} from '@gatehead/policy/utils/clock';
-import {type LoadNews} from '../peer/load-news.js';
+import {type LoadGossip} from '../peer/load-gossip.js';
 import {type Endpoints} from '../upstream/endpoints.js';
 
 export type DecodePrefillParts = {
 	readonly clock: Clock;
 	readonly endpoints: Pick<Endpoints, 'queueOf'>;
-	readonly news: Pick<LoadNews, 'tellReading'>;
+	readonly news: Pick<LoadGossip, 'announcePrompt'>;
 };
 
 /** The prefill of one request's prompt at its decode replica, while it runs. */
@@ -29,7 +29,7 @@
 		const {clock, endpoints, news} = this.#parts;
 		const queue = endpoints.queueOf(endpoint);
 		const reading = queue.begin(tokens, clock.now());
-		news.tellReading(endpoint, tokens);
+		news.announcePrompt(endpoint, tokens);
 		this.#current = {queue, reading};
 		return reading.expectedMs;
 	}
--- a/packages/relay/src/work/parts.ts
+++ b/packages/relay/src/work/parts.ts
@@ -1,6 +1,6 @@
 /** Dependencies that the request handlers share. */
 import {type RelayContext} from '../core/context.js';
-import {type LoadNews} from '../peer/load-news.js';
+import {type LoadGossip} from '../peer/load-gossip.js';
 import {type CrashGuard} from '../upstream/crash-guard.js';
 import {type Endpoints} from '../upstream/endpoints.js';
 import {type OwnCalls} from '../upstream/own-calls.js';
@@ -18,5 +18,5 @@
 	readonly admission: Admission;
 	readonly ownCalls: OwnCalls;
 	readonly orders: StageOrders;
-	readonly news: LoadNews;
+	readonly news: LoadGossip;
 };
--- a/packages/relay/src/work/prefill.ts
+++ b/packages/relay/src/work/prefill.ts
@@ -71,7 +71,7 @@
 			}
 
 			const reading = queue.begin(tokens, startedAt);
-			news.tellReading(endpoint.id, tokens);
+			news.announcePrompt(endpoint.id, tokens);
 			const result = await this.#runAt(endpoint);
 			if (result === undefined) {
 				queue.abandon(reading);
--- a/packages/relay/src/work/service-queue.ts
+++ b/packages/relay/src/work/service-queue.ts
@@ -7,7 +7,7 @@
 import {StartTime} from '@gatehead/policy/relay/start-time';
 import {type RelayContext} from '../core/context.js';
 import {isOff} from '../core/experiment.js';
-import {type LoadNews} from '../peer/load-news.js';
+import {type LoadGossip} from '../peer/load-gossip.js';
 import {type Endpoints} from '../upstream/endpoints.js';
 import {type RateLimiter} from '../upstream/rate-limiter.js';
 import {type OwnCalls} from '../upstream/own-calls.js';
@@ -35,7 +35,7 @@
 	readonly context: RelayContext;
 	readonly endpoints: Endpoints;
 	readonly calls: OwnCalls;
-	readonly news: LoadNews;
+	readonly news: LoadGossip;
 	readonly limiter: RateLimiter;
 };
 
@@ -64,7 +64,7 @@
 	/** Time at which a request last waited, here or at a peer that reported it. */
 	lastWaitedAt(): number {
 		const {context: {clock}, news} = this.#parts;
-		if (this.size > 0 || news.waitingElsewhere(this.#service) > 0) {
+		if (this.size > 0 || news.countWaitingAtPeers(this.#service) > 0) {
 			this.#waitedAt = clock.now();
 		}
 
@@ -73,7 +73,7 @@
 
 	/** Reserves at once if no request with a higher priority waits; undefined if the request has to wait. */
 	async tryReserve(request: ReservationRequest): Promise<Reservation | undefined> {
-		const isBehind = this.size > 0 || (this.#stageOf(request) === 'returned' && this.#parts.news.waitingElsewhere(this.#service) > 0);
+		const isBehind = this.size > 0 || (this.#stageOf(request) === 'returned' && this.#parts.news.countWaitingAtPeers(this.#service) > 0);
 		const reservation = isBehind ? undefined : await this.#search.find(request);
 		if (reservation !== undefined) {
 			this.#recordGrant(request, reservation, 0);
@@ -123,7 +123,7 @@
 		const timely = this.#queue.countTimely(this.#parts.context.clock.now(), this.#start.valueMs);
 		if (timely !== this.#publishedWaiting) {
 			this.#publishedWaiting = timely;
-			this.#parts.news.tellWaiting(this.#service, timely);
+			this.#parts.news.announceWaiting(this.#service, timely);
 		}
 	}
 
@@ -174,7 +174,7 @@
 	#outlook(): Outlook {
 		const {endpoints, news} = this.#parts;
 		const replicas = endpoints.countDecode(this.#service);
-		return {elsewhere: news.waitingElsewhere(this.#service), releasesPerS: this.rate.perSecond(replicas), startMs: this.#start.valueMs};
+		return {elsewhere: news.countWaitingAtPeers(this.#service), releasesPerS: this.rate.perSecond(replicas), startMs: this.#start.valueMs};
 	}
 
 	#stageOf({isContinuation, job}: ReservationRequest): Waiter['stage'] {
@@ -198,7 +198,7 @@
 		const {endpoints, news, context: {log}} = this.#parts;
 		this.rate.setCapacity(capacityTokens);
 		endpoints.noteTaken(endpoint.id, tokens, startDelayMs);
-		news.tellPlaced(endpoint.id, tokens, startDelayMs + this.rate.holdMs);
+		news.announceReservation(endpoint.id, tokens, startDelayMs + this.rate.holdMs);
 		log('reserved', {
 			request: job.id, endpoint: endpoint.id, tokens, waitedMs: Math.round(waitedMs), waiting: this.size,
 		});
--- a/packages/relay/src/work/stage-orders.ts
+++ b/packages/relay/src/work/stage-orders.ts
@@ -123,7 +123,7 @@
 
 	#isActiveLeader(now: number): boolean {
 		const {fleet, watch} = this.#parts;
-		if (!fleet.isFirst()) {
+		if (!fleet.isCoordinator()) {
 			this.#leaderSince = undefined;
 			return false;
 		}
@@ -135,8 +135,8 @@
 
 		this.#leaderSince ??= position;
 		const isStable = now - fleet.changedAt >= minStableMs;
-		const hasLaterPosition = !fleet.hasFollowed || isLater(position, this.#leaderSince);
-		return isStable && hasLaterPosition && fleet.hasMajority() && !watch.isDown;
+		const hasLaterPosition = !fleet.hasSeenOtherCoordinator || isLater(position, this.#leaderSince);
+		return isStable && hasLaterPosition && fleet.hasMajority() && !watch.isUnavailable;
 	}
 
 	async #order({endpoint, stage, reason}: StageChange): Promise<void> {
@@ -149,7 +149,7 @@
 		// The replica refuses requests until it has changed stage
 		const pause = {endpoint: endpoint.id, leftMs: stageChangeMs};
 		endpoints.hearPause(pause, ownOrder);
-		fleet.tellPause(pause);
+		fleet.announcePause(pause);
 		this.#pendingOrders.begin(endpoint.id, stage, clock.now());
 		const outcome = await ownCalls.orderStage(endpoint, stage, self.host, fence);
 		if (!acceptedOutcomes.has(outcome)) {
