--- a/packages/relay/src/peer/fleet.ts
+++ b/packages/relay/src/peer/fleet.ts
@@ -242,10 +242,10 @@
 		return first === this.#parts.context.self.host;
 	}
 
-	/** Whether this host ranks first among those alive, and so performs a duty for the fleet. There is no consensus: hosts with different views may disagree. */
-	isCoordinator(duty = 'orders'): boolean {
+	/** Whether this host ranks first among those alive, and so performs the task identified by `key` for the fleet. There is no consensus: hosts with different views may disagree. */
+	isCoordinator(key = 'orders'): boolean {
 		const alive = this.#listAlive().map(({host}) => host);
-		return rankFirst(duty, alive) === this.#parts.context.self.host;
+		return rankFirst(key, alive) === this.#parts.context.self.host;
 	}
 
 	/** Whether more than half of all known hosts, including dead ones, are alive. */
--- a/packages/relay/src/peer/load-gossip.ts
+++ b/packages/relay/src/peer/load-gossip.ts
@@ -133,9 +133,9 @@
 		// Suspected hosts usually return; excluding them would reassign other hosts needlessly
 		const candidates = this.#members.filter(({state}) => state === 'alive' || state === 'suspect');
 		const count = countSubsets(candidates.length);
-		const dealt = dealSubsets(candidates.map(({host}) => host), count);
-		const own = dealt.get(self.host) ?? 0;
-		const peers = candidates.filter(({host, state}) => state === 'alive' && host !== self.host && dealt.get(host) === own).map(({host}) => host);
+		const assignments = dealSubsets(candidates.map(({host}) => host), count);
+		const own = assignments.get(self.host) ?? 0;
+		const peers = candidates.filter(({host, state}) => state === 'alive' && host !== self.host && assignments.get(host) === own).map(({host}) => host);
 		this.#subsetPeers = {subset: {count, own}, peers};
 		this.#logSubsetChange(this.#subsetPeers);
 		return this.#subsetPeers;
