--- a/packages/policy/src/relay/event-splitter.ts
+++ b/packages/policy/src/relay/event-splitter.ts
@@ -1,21 +1,21 @@
 /**
- * Cuts a stream of server-sent events into whole events, so that a stream
- * which breaks off in the middle of an event can continue elsewhere without
- * a broken piece before the next. Safety: only whole events are passed on.
+ * Splits a byte stream of server-sent events at event boundaries, so that a
+ * stream that fails in the middle of an event can be resumed at another
+ * endpoint. Safety: only complete events are forwarded.
  */
 import {Buffer} from 'node:buffer';
 
 const lineFeed = 0x0A;
 const carriageReturn = 0x0D;
-const none = new Uint8Array();
+const noBytes = new Uint8Array();
 
-/** Whole events and the id of the last one that had any. */
+/** Complete events, as sent, and their number. */
 export type WholeEvents = {
 	readonly bytes: Uint8Array;
 	readonly count: number;
 };
 
-/** The last `id:` field of whole events. */
+/** The last `id:` field; undefined if there is noBytes. */
 function findLastId(bytes: Uint8Array): string | undefined {
 	let found: string | undefined;
 	for (const [, id] of Buffer.from(bytes).toString('latin1').matchAll(/^id: ?(?<id>[^\r\n]*)/gmv)) {
@@ -25,7 +25,7 @@
 	return found;
 }
 
-/** Where the event that holds `from` ends: behind an empty line; -1 where it is not whole. */
+/** Index after the empty line that ends the event at `from`; -1 if the event is incomplete. */
 function findEnd(bytes: Uint8Array, from: number): number {
 	for (let index = bytes.indexOf(lineFeed, from); index !== -1; index = bytes.indexOf(lineFeed, index + 1)) {
 		if (bytes[index + 1] === lineFeed) {
@@ -40,13 +40,13 @@
 	return -1;
 }
 
-/** Splits one run's bytes. */
+/** Splitter for one response stream. */
 export class EventSplitter {
-	/** Id of the last whole event, to continue after. */
+	/** Id of the last complete event, from which a stream is resumed. */
 	lastId: string | undefined;
-	#rest: Uint8Array = none;
+	#rest: Uint8Array = noBytes;
 
-	/** Takes bytes as they come and returns the events that are now whole. */
+	/** Appends a chunk and returns the events that it completes. */
 	push(chunk: Uint8Array): WholeEvents {
 		const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
 		let end = 0;
@@ -62,15 +62,15 @@
 		return {bytes: whole, count};
 	}
 
-	/** What follows the last whole event, as at the end of a whole stream. */
+	/** Removes and returns the bytes after the last complete event. */
 	takeRest(): Uint8Array {
 		const rest = this.#rest;
-		this.#rest = none;
+		this.#rest = noBytes;
 		return rest;
 	}
 
-	/** Forgets the piece that another run begins anew. */
+	/** Discards an incomplete event, before the stream is resumed elsewhere. */
 	reset(): void {
-		this.#rest = none;
+		this.#rest = noBytes;
 	}
 }
--- a/packages/policy/src/relay/gossip-budget.ts
+++ b/packages/policy/src/relay/gossip-budget.ts
@@ -1,42 +1,41 @@
 /**
- * A token bucket for load messages to peers: sent at once while they are few,
- * batched beyond that, so that their cost is bounded at any load. Efficiency
- * only.
+ * Token bucket for load messages to peers: they are sent at once up to the
+ * rate and batched beyond it, which bounds their cost at any load.
  */
 
-/** Size of the bucket, in seconds of its rate: bursts of load last a few seconds. */
-const savedS = 3;
+/** Size of the bucket, in seconds of its rate; covers a load burst. */
+const burstS = 3;
 const millisecondsPerSecond = 1000;
 
-/** One host's budget. */
+/** The budget of one host. */
 export class GossipBudget {
 	readonly #perSecond: number;
-	/** Messages left; negative once the bucket is overdrawn. */
-	#left: number;
-	#at: number;
+	/** Tokens left, one per message; negative once the bucket is overdrawn. */
+	#tokens: number;
+	#filledAt: number;
 
-	/** `perSecond`: messages that may be sent a second, one for each peer. */
+	/** `perSecond`: messages that may be sent per second; a broadcast counts one for each peer. `now` in milliseconds. */
 	constructor(perSecond: number, now: number) {
 		this.#perSecond = perSecond;
-		this.#left = savedS * perSecond;
-		this.#at = now;
+		this.#tokens = burstS * perSecond;
+		this.#filledAt = now;
 	}
 
-	/** Notes that so many messages were sent. */
+	/** Takes tokens for messages that were sent. */
 	spend(messages: number, now: number): void {
-		this.#fill(now);
-		this.#left -= messages;
+		this.#refill(now);
+		this.#tokens -= messages;
 	}
 
-	/** Time until the next may be sent, in milliseconds. */
+	/** Time until the next message may be sent, in milliseconds. */
 	waitMs(now: number): number {
-		this.#fill(now);
-		return this.#left >= 0 ? 0 : -this.#left * millisecondsPerSecond / this.#perSecond;
+		this.#refill(now);
+		return this.#tokens >= 0 ? 0 : -this.#tokens * millisecondsPerSecond / this.#perSecond;
 	}
 
-	#fill(now: number): void {
-		const gained = (now - this.#at) * this.#perSecond / millisecondsPerSecond;
-		this.#left = Math.min(savedS * this.#perSecond, this.#left + gained);
-		this.#at = now;
+	#refill(now: number): void {
+		const added = (now - this.#filledAt) * this.#perSecond / millisecondsPerSecond;
+		this.#tokens = Math.min(burstS * this.#perSecond, this.#tokens + added);
+		this.#filledAt = now;
 	}
 }
