--- a/packages/policy/src/relay/final-refusals.test.ts
+++ b/packages/policy/src/relay/final-refusals.test.ts
@@ -1,4 +1,3 @@
-/** Catalogue: which refusals need evidence, and how old it may be. */
 import {describe, it} from 'node:test';
 import {codeNames, codes, type Code} from '@gatehead/schema/codes';
 import {expect} from 'earl';
@@ -17,32 +16,32 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'the configuration was confirmed behind the arrival', arrivedAt: 5000, confirmedAt: 5010, mayRefuse: true,
+		name: 'the configuration was confirmed after the arrival', arrivedAt: 5000, confirmedAt: 5010, mayRefuse: true,
 	},
 	{
-		name: 'it was confirmed shortly before', arrivedAt: 5000, confirmedAt: 3900, mayRefuse: true,
+		name: 'it was confirmed at the longest time before the arrival', arrivedAt: 5000, confirmedAt: 3900, mayRefuse: true,
 	},
 	{
-		name: 'a little too long before', arrivedAt: 5000, confirmedAt: 3899, mayRefuse: false,
+		name: 'it was confirmed too long before the arrival', arrivedAt: 5000, confirmedAt: 3899, mayRefuse: false,
 	},
 	{
-		name: 'it never was, as at a host whose first configuration a peer told', arrivedAt: 5000, confirmedAt: never, mayRefuse: false,
+		name: 'it was never confirmed, as on a host that has it from a peer', arrivedAt: 5000, confirmedAt: never, mayRefuse: false,
 	},
 	{
-		name: 'a newer one exists that cannot be read', arrivedAt: 5000, confirmedAt: 5000, isBehind: true, mayRefuse: false,
+		name: 'a newer one exists that this host cannot read', arrivedAt: 5000, confirmedAt: 5000, isBehind: true, mayRefuse: false,
 	},
 ];
 
 describe('final refusals', () => {
 	for (const {name, isBehind = false, mayRefuse: expected, ...evidence} of cases) {
-		it(`${expected ? 'said' : 'not said'}: ${name}`, () => {
+		it(`${expected ? 'allowed' : 'not allowed'}: ${name}`, () => {
 			expect(mayRefuse({...evidence, isBehind, mostAgeMs})).toEqual(expected);
 		});
 	}
 
-	it('a refusal that the configuration decides is either final or asks the caller back', () => {
-		const kept = codeNames.filter(code => isDecidedByConfiguration(code));
-		const asksBack = (code: Code) => [429, 503].includes(codes[code].status);
-		expect(kept.filter(code => isFinal(code) === asksBack(code))).toEqual([]);
+	it('a refusal that depends on the configuration is either final or has a retryable status', () => {
+		const dependent = codeNames.filter(code => isDecidedByConfiguration(code));
+		const isRetryable = (code: Code) => [429, 503].includes(codes[code].status);
+		expect(dependent.filter(code => isFinal(code) === isRetryable(code))).toEqual([]);
 	});
 });
--- a/packages/policy/src/relay/final-refusals.ts
+++ b/packages/policy/src/relay/final-refusals.ts
@@ -1,50 +1,49 @@
 /**
- * Whether a host may say an answer that the configuration decides. One that
- * tells a caller for good that its request is wrong, and need not be sent
- * again, is true only of the configuration that is in force now: it needs
- * evidence that nothing newer is. Without it the host knows only that it does
- * not know. Safety: rests on an instant at which this host asked and was
- * answered, and on nothing that others are thought to do.
+ * Decides whether a host may send a final refusal, which tells a caller not
+ * to retry. A refusal that depends on the configuration is correct only if no
+ * newer configuration is in force. Safety: a final refusal requires that the
+ * configuration was confirmed as current, by a response to this host's own
+ * query, recently enough before the request arrived.
  */
 import {type Code} from '@gatehead/schema/codes';
 
-/** What a wrong answer costs: `final`: the caller does not ask again; `passing`: it is asked back, here or elsewhere, and loses some time. */
-type Weight = 'final' | 'passing';
+/** `final`: the caller does not retry; `retryable`: the caller is asked to retry, so that a wrong refusal costs it only time. */
+type Permanence = 'final' | 'retryable';
 
-/** All refusals that another configuration might not bring. What limits of size, header and method say stands in the host's settings. */
-const weights: ReadonlyMap<Code, Weight> = new Map<Code, Weight>([
+/** Codes of refusals that depend on the configuration. Limits on size, headers and methods are host settings and are not listed. */
+const permanences: ReadonlyMap<Code, Permanence> = new Map<Code, Permanence>([
 	['routeUnknown', 'final'],
 	['serviceUnknown', 'final'],
 	['callerUnknown', 'final'],
-	['keysOutdated', 'passing'],
-	['refusalUnproven', 'passing'],
-	['quotaSpent', 'passing'],
-	['notReady', 'passing'],
+	['keysOutdated', 'retryable'],
+	['refusalUnproven', 'retryable'],
+	['quotaSpent', 'retryable'],
+	['notReady', 'retryable'],
 ]);
 
-/** What a host knows of its configuration when it refuses a request. */
+/** State of a host's configuration when it refuses a request. */
 export type RefusalEvidence = {
-	/** When the request arrived, by the host's clock; it was sent no later. */
+	/** When the request arrived, in milliseconds of the host's clock. */
 	readonly arrivedAt: number;
-	/** The last instant for which the configuration is known to have been the newest; minus infinity: none. */
+	/** Last instant at which the configuration is known to have been the newest; `-Infinity` if there is none. */
 	readonly confirmedAt: number;
-	/** A newer configuration is known to exist that this host cannot read. */
+	/** A newer configuration exists that this host cannot read. */
 	readonly isBehind: boolean;
-	/** Age beyond which the evidence is of no use, in milliseconds. */
+	/** Longest time from the confirmation to the arrival, in milliseconds. */
 	readonly mostAgeMs: number;
 };
 
-/** Whether another configuration might allow what is refused under a code. */
+/** Whether a refusal with this code depends on the configuration. */
 export function isDecidedByConfiguration(code: Code): boolean {
-	return weights.has(code);
+	return permanences.has(code);
 }
 
-/** Whether a refusal ends a request for good, so that it needs evidence. */
+/** Whether a refusal with this code is final, and so needs a confirmed configuration. */
 export function isFinal(code: Code): boolean {
-	return weights.get(code) === 'final';
+	return permanences.get(code) === 'final';
 }
 
-/** Whether a final refusal may be said. */
+/** Whether a final refusal may be sent. */
 export function mayRefuse({arrivedAt, confirmedAt, isBehind, mostAgeMs}: RefusalEvidence): boolean {
 	return !isBehind && confirmedAt >= arrivedAt - mostAgeMs;
 }
