--- a/packages/policy/src/relay/crash-suspects.test.ts
+++ b/packages/policy/src/relay/crash-suspects.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: which contents are held back, and for how long; generated fleets for the two errors: an innocent content held back, and a guilty one let in. */
+/** Guards against both errors, also in simulated fleets: an innocent content that is held, and a guilty one that is not. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import fc from 'fast-check';
@@ -9,12 +9,12 @@
 } from './crash-suspects.js';
 
 const content = {digest: 'guilty', bytes: 100};
-const usual: CrashRule = {leastEnds: 2, sameMomentMs: 200};
+const defaultRule: CrashRule = {leastEnds: 2, sameMomentMs: 200};
 
-/** Something that a host learns, at a time in milliseconds. */
-type Step = readonly [at: number, learn: (suspects: CrashSuspects, at: number) => void];
+/** An event that a host observes or receives, at a time in milliseconds. */
+type Step = readonly [at: number, apply: (suspects: CrashSuspects, at: number) => void];
 
-function ended(end: string): Step[1] {
+function crash(end: string): Step[1] {
 	return (suspects, at) => {
 		suspects.noteEnd(content, end, at);
 	};
@@ -26,13 +26,13 @@
 	};
 }
 
-function told(report: Pick<CrashReport, 'ends' | 'refuted'>): Step[1] {
+function receive(report: Pick<CrashReport, 'ends' | 'refuted'>): Step[1] {
 	return (suspects, at) => {
 		suspects.hear({content: content.digest, bytes: content.bytes, ...report}, at);
 	};
 }
 
-function wentWell(suspects: CrashSuspects): void {
+function succeeded(suspects: CrashSuspects): void {
 	suspects.noteGood(content);
 }
 
@@ -45,49 +45,49 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'one end says nothing', steps: [[0, ended('a')]], askedAt: 10, kind: 'free',
+		name: 'one crash', steps: [[0, crash('a')]], askedAt: 10, kind: 'free',
 	},
 	{
-		name: 'two ends', steps: [[0, ended('a')], [1000, ended('b')]], askedAt: 1010, kind: 'held',
+		name: 'two crashes', steps: [[0, crash('a')], [1000, crash('b')]], askedAt: 1010, kind: 'held',
 	},
 	{
-		name: 'one end told twice', steps: [[0, ended('a')], [1000, ended('a')]], askedAt: 1010, kind: 'free',
+		name: 'one crash reported twice', steps: [[0, crash('a')], [1000, crash('a')]], askedAt: 1010, kind: 'free',
 	},
 	{
-		name: 'two starts of one endpoint', steps: [[0, ended('a@1')], [4000, ended('a@2')]], askedAt: 4010, kind: 'held',
+		name: 'two incarnations of one endpoint', steps: [[0, crash('a@1')], [4000, crash('a@2')]], askedAt: 4010, kind: 'held',
 	},
 	{
-		name: 'two ends at one moment, as when a hall goes', steps: [[0, ended('a')], [150, ended('b')]], askedAt: 200, kind: 'free',
+		name: 'two crashes at once, as when a hall fails', steps: [[0, crash('a')], [150, crash('b')]], askedAt: 200, kind: 'free',
 	},
 	{
-		name: 'a run that went well in between', steps: [[0, ended('a')], [500, wentWell], [1000, ended('b')]], askedAt: 1010, kind: 'free',
+		name: 'a successful run between two crashes', steps: [[0, crash('a')], [500, succeeded], [1000, crash('b')]], askedAt: 1010, kind: 'free',
 	},
 	{
-		name: 'a run that went well behind both, begun before', steps: [[0, ended('a')], [1000, ended('b')], [1200, wentWell]], askedAt: 1300, kind: 'free',
+		name: 'a successful run after two crashes', steps: [[0, crash('a')], [1000, crash('b')], [1200, succeeded]], askedAt: 1300, kind: 'free',
 	},
 	{
-		name: 'an endpoint that turned out to live', steps: [[0, ended('a')], [500, refuted('a')], [1000, ended('b')]], askedAt: 1010, kind: 'free',
+		name: 'a crash that is refuted', steps: [[0, crash('a')], [500, refuted('a')], [1000, crash('b')]], askedAt: 1010, kind: 'free',
 	},
 	{
-		name: 'a refutation that comes before its end', steps: [[0, told({ends: [], refuted: ['a']})], [500, ended('a')], [1000, ended('b')]], askedAt: 1010, kind: 'free',
+		name: 'a refutation that arrives before its crash', steps: [[0, receive({ends: [], refuted: ['a']})], [500, crash('a')], [1000, crash('b')]], askedAt: 1010, kind: 'free',
 	},
 	{
-		name: 'its time is over', steps: [[0, ended('a')], [1000, ended('b')]], askedAt: 62_000, kind: 'trial',
+		name: 'the hold has expired', steps: [[0, crash('a')], [1000, crash('b')]], askedAt: 62_000, kind: 'trial',
 	},
 	{
-		name: 'a third end on trial', steps: [[0, ended('a')], [1000, ended('b')], [62_000, ended('c')]], askedAt: 181_000, kind: 'held',
+		name: 'a third crash on trial', steps: [[0, crash('a')], [1000, crash('b')], [62_000, crash('c')]], askedAt: 181_000, kind: 'held',
 	},
 	{
-		name: 'all is forgotten', steps: [[0, ended('a')], [1000, ended('b')]], askedAt: 1_900_000, kind: 'free',
+		name: 'the crashes have expired', steps: [[0, crash('a')], [1000, crash('b')]], askedAt: 1_900_000, kind: 'free',
 	},
 ];
 
-describe('contents under which endpoints end', () => {
+describe('crash suspects', () => {
 	for (const {name, steps, askedAt, kind} of cases) {
 		it(`${name}: ${kind}`, () => {
 			const suspects = new CrashSuspects();
-			for (const [at, learn] of steps) {
-				learn(suspects, at);
+			for (const [at, apply] of steps) {
+				apply(suspects, at);
 			}
 
 			expect(suspects.judge(content, askedAt).kind).toEqual(kind);
@@ -95,7 +95,7 @@
 		});
 	}
 
-	it('nothing is compared while no content of a length is known, and the memory is bounded', () => {
+	it('keeps a bounded number of contents, held ones before others, and indexes them by length', () => {
 		const suspects = new CrashSuspects();
 		const held = {digest: 'held', bytes: 7};
 		suspects.noteEnd(held, 'a', 0);
@@ -110,7 +110,7 @@
 		expect([suspects.size, suspects.isClear(100)]).toEqual([0, true]);
 	});
 
-	it('hosts that hear the same in any order and number judge the same', () => {
+	it('reports merge to the same verdict in any order and when repeated', () => {
 		const end = fc.record({end: fc.constantFrom('a', 'b', 'c', 'd'), ageMs: fc.integer({min: 0, max: 50_000})});
 		const report = fc.record({
 			content: fc.constant('guilty'), bytes: fc.constant(100), ends: fc.uniqueArray(end, {selector: each => each.end, maxLength: 4}), refuted: fc.array(fc.constantFrom('a', 'b', 'c', 'd'), {maxLength: 2}),
@@ -130,15 +130,15 @@
 	});
 });
 
-/** A generated fleet: its endpoints end together now and then, or one by one under guilty contents. */
+/** A simulated fleet whose endpoints crash at once in groups, or one by one under guilty contents. */
 type Fleet = {
 	readonly name: string;
 	readonly endpoints: number;
-	/** Innocent contents in their first moments at each endpoint when it ends. */
+	/** Innocent contents that have just started at an endpoint when it crashes. */
 	readonly company: number;
-	/** Share of the endpoints that end at once, each five seconds; 0: none. */
+	/** Share of the endpoints that crash at once, every five seconds; 0: none. */
 	readonly share: number;
-	/** Guilty contents, each of which comes every so many milliseconds. */
+	/** Number of guilty contents; each is sent every `everyMs`. */
 	readonly guilty: number;
 	readonly everyMs: number;
 };
@@ -146,40 +146,40 @@
 const spanMs = 60_000;
 const massEveryMs = 5000;
 const startMs = 4000;
-/** Time in which hosts tell each other, in milliseconds. */
-const tellMs = 110;
-/** Lost requests that come again, and how often each at most. */
-const returnShare = 0.7;
-const mostReturns = 3;
-/** Time in which a request that came again is in its first moments, in milliseconds. */
-const firstMomentsMs = 400;
+/** Delay of reports between hosts, in milliseconds. */
+const reportDelayMs = 110;
+/** Share of lost requests that are retried, and the retries of each at most. */
+const retryShare = 0.7;
+const maxRetries = 3;
+/** Time for which a retried request counts as just started, in milliseconds. */
+const startingMs = 400;
 
 const fleets: readonly Fleet[] = [
 	{
-		name: '42 endpoints, a sixth ends at once ten times', endpoints: 42, company: 3, share: 1 / 6, guilty: 0, everyMs: 0,
+		name: '42 endpoints, a sixth crashes at once every five seconds', endpoints: 42, company: 3, share: 1 / 6, guilty: 0, everyMs: 0,
 	},
 	{
 		name: '13 endpoints, one guilty content', endpoints: 13, company: 3, share: 0, guilty: 1, everyMs: 600,
 	},
 	{
-		name: '42 endpoints, ten guilty contents, a sixth ends at once ten times', endpoints: 42, company: 3, share: 1 / 6, guilty: 10, everyMs: 1500,
+		name: '42 endpoints, ten guilty contents, a sixth crashes at once every five seconds', endpoints: 42, company: 3, share: 1 / 6, guilty: 10, everyMs: 1500,
 	},
 ];
 
 type Tally = {
 	innocent: number;
 	innocentHeld: number;
-	endsByGuilty: number;
+	guiltyCrashes: number;
 };
 
-/** Plays a fleet under a rule: each request is judged by what was told `tellMs` before. */
-class FleetPlay {
-	readonly tally: Tally = {innocent: 0, innocentHeld: 0, endsByGuilty: 0};
+/** Simulates a fleet; a crash counts once it has been reported, after `reportDelayMs`. */
+class FleetSimulation {
+	readonly tally: Tally = {innocent: 0, innocentHeld: 0, guiltyCrashes: 0};
 	readonly #fleet: Fleet;
 	readonly #suspects: CrashSuspects;
 	readonly #random: Random;
 	readonly #events: Array<{readonly at: number; readonly run: (at: number) => void}> = [];
-	/** When each endpoint is up again, and which start of it that is. */
+	/** When each endpoint is up again, and the number of its incarnation. */
 	readonly #endpoints: Array<{upAt: number; start: number; readonly visitors: Map<string, number>}>;
 	#made = 0;
 
@@ -190,12 +190,12 @@
 		this.#endpoints = Array.from({length: fleet.endpoints}, () => ({upAt: 0, start: 0, visitors: new Map<string, number>()}));
 	}
 
-	play(): Tally {
+	run(): Tally {
 		const {share, endpoints, guilty, everyMs} = this.#fleet;
 		for (let at = massEveryMs; at < spanMs; at += massEveryMs) {
 			for (let index = 0; index < Math.round(share * endpoints); index += 1) {
 				this.#at(at, now => {
-					this.#endOne(now);
+					this.#crashOne(now);
 				});
 			}
 		}
@@ -223,13 +223,13 @@
 
 	#runGuilty(digest: string, now: number): void {
 		if (this.#suspects.judge({digest, bytes: 100}, now).kind !== 'held') {
-			this.tally.endsByGuilty += 1;
-			this.#endOne(now, digest);
+			this.tally.guiltyCrashes += 1;
+			this.#crashOne(now, digest);
 		}
 	}
 
-	/** An endpoint that is up ends, under all that is in its first moments there. */
-	#endOne(now: number, guilty?: string): void {
+	/** Crashes an endpoint that is up, under all requests that have just started there. */
+	#crashOne(now: number, guilty?: string): void {
 		const up = [...this.#endpoints.entries()].filter(([, {upAt}]) => upAt <= now);
 		const [index, endpoint] = up[Math.floor(this.#random.next() * up.length)] ?? [];
 		if (index === undefined || endpoint === undefined) {
@@ -243,13 +243,13 @@
 		endpoint.visitors.clear();
 		const fresh = Array.from({length: this.#fleet.company}, () => this.#makeInnocent());
 		for (const digest of [...fresh, ...returning, ...(guilty === undefined ? [] : [guilty])]) {
-			this.#at(now + tellMs, () => {
+			this.#at(now + reportDelayMs, () => {
 				this.#suspects.noteEnd({digest, bytes: 100}, end, now);
 			});
 		}
 
 		for (const digest of [...fresh, ...returning]) {
-			this.#comeAgain(digest, now, 0);
+			this.#retry(digest, now, 0);
 		}
 	}
 
@@ -259,13 +259,13 @@
 		return `innocent ${this.#made}`;
 	}
 
-	/** A lost request comes again at another endpoint; unless that ends too, it goes well. */
-	#comeAgain(digest: string, now: number, returns: number): void {
-		if (returns >= mostReturns || this.#random.next() > returnShare) {
+	/** Retries a lost request at another endpoint; it succeeds unless that crashes too. */
+	#retry(digest: string, now: number, returns: number): void {
+		if (returns >= maxRetries || this.#random.next() > retryShare) {
 			return;
 		}
 
-		this.#at(now + (this.#random.next() * 2 * firstMomentsMs), at => {
+		this.#at(now + (this.#random.next() * 2 * startingMs), at => {
 			if (this.#suspects.judge({digest, bytes: 100}, at).kind === 'held') {
 				this.tally.innocentHeld += 1;
 				return;
@@ -273,8 +273,8 @@
 
 			const up = this.#endpoints.filter(({upAt}) => upAt <= at);
 			const endpoint = up[Math.floor(this.#random.next() * up.length)];
-			endpoint?.visitors.set(digest, at + firstMomentsMs);
-			this.#at(at + firstMomentsMs, () => {
+			endpoint?.visitors.set(digest, at + startingMs);
+			this.#at(at + startingMs, () => {
 				if (endpoint?.visitors.delete(digest)) {
 					this.#suspects.noteGood({digest, bytes: 100});
 				}
@@ -285,29 +285,29 @@
 
 const seeds = 20;
 
-function playAll(fleet: Fleet, rule: CrashRule): Tally {
-	const sum: Tally = {innocent: 0, innocentHeld: 0, endsByGuilty: 0};
+function runAll(fleet: Fleet, rule: CrashRule): Tally {
+	const sum: Tally = {innocent: 0, innocentHeld: 0, guiltyCrashes: 0};
 	for (let seed = 1; seed <= seeds; seed += 1) {
-		const tally = new FleetPlay(fleet, rule, seed).play();
+		const tally = new FleetSimulation(fleet, rule, seed).run();
 		sum.innocent += tally.innocent;
 		sum.innocentHeld += tally.innocentHeld;
-		sum.endsByGuilty += tally.endsByGuilty;
+		sum.guiltyCrashes += tally.guiltyCrashes;
 	}
 
 	return sum;
 }
 
-describe('generated fleets whose endpoints end', () => {
+describe('simulated fleets whose endpoints crash', () => {
 	for (const fleet of fleets) {
-		it(`${fleet.name}: each guilty content ends a few, and hardly an innocent one is held back`, context => {
+		it(`${fleet.name}: each guilty content crashes at most three endpoints on average, and fewer than 1 % of the innocent ones are held`, context => {
 			for (const leastEnds of [1, 2, 3]) {
-				const {innocent, innocentHeld, endsByGuilty} = playAll(fleet, {...usual, leastEnds});
-				context.diagnostic(`${leastEnds} ends: ${innocentHeld} of ${innocent} innocent contents held back, ${fleet.guilty === 0 ? 0 : endsByGuilty / (seeds * fleet.guilty)} ends a guilty content`);
+				const {innocent, innocentHeld, guiltyCrashes} = runAll(fleet, {...defaultRule, leastEnds});
+				context.diagnostic(`threshold ${leastEnds}: ${innocentHeld} of ${innocent} innocent held, ${fleet.guilty === 0 ? 0 : guiltyCrashes / (seeds * fleet.guilty)} crashes per guilty one`);
 			}
 
-			const {innocent, innocentHeld, endsByGuilty} = playAll(fleet, usual);
+			const {innocent, innocentHeld, guiltyCrashes} = runAll(fleet, defaultRule);
 			expect(innocentHeld / innocent).toBeLessThan(0.01);
-			expect(endsByGuilty).toBeLessThanOrEqual(3 * seeds * fleet.guilty);
+			expect(guiltyCrashes).toBeLessThanOrEqual(3 * seeds * fleet.guilty);
 		});
 	}
 });
--- a/packages/policy/src/relay/crash-suspects.ts
+++ b/packages/policy/src/relay/crash-suspects.ts
@@ -1,110 +1,108 @@
 /**
- * Contents of requests under which endpoints have ended, and which of them are
- * held back. One endpoint that ends takes many requests with it; the one at
- * fault is known by its being there each time, and by its never going well.
- * Efficiency, and the safety of one bound: how many endpoints one content may
- * end. What hosts know merges in any order, told once or often: ends are a
- * set, and so are those among them that were refuted. The pattern is that of
- * a queue that counts deliveries of one record and gives it up (KIP-932); no
- * host here sees all deliveries, so the set of ends takes the counter's place.
+ * Detects request bodies ("contents") that crash endpoints, and holds them.
+ * A crash interrupts many requests; the one at fault was running in each crash
+ * and never succeeds. Like a delivery count with a limit (KIP-932), but no host
+ * sees all deliveries, so each keeps the set of crashes and the set of refuted
+ * ones. Both sets merge in any order, and reports may be repeated. Safety:
+ * bounds the number of endpoints that one content can crash.
  */
 import {type CrashReport} from '@gatehead/schema/relay-message';
 
-/** How ends are counted; other figures than the usual ones are for measurements. */
+/** How crashes are counted. Only tests replace the default. */
 export type CrashRule = {
-	/** Ends from which on a content is held back. */
+	/** Number of crashes from which a content is held. */
 	readonly leastEnds: number;
-	/** Ends so close together count as one, in milliseconds. */
+	/** Crashes within this time of each other count as one, in milliseconds. */
 	readonly sameMomentMs: number;
 };
 
-/** Ends from which on a content is held back. In generated fleets of 42 endpoints that lose a sixth at once eleven times a minute (20 seeds, crash-suspects.test.ts) 2 held none of 4,620 innocent contents back, and 23 of 5,820 where ten guilty ones came besides; with 1 it was 2,725 and 3,131, with 3 none and 5. Each end more costs an endpoint for seconds, and the three to ten streams on it. */
+/** Number of crashes from which a content is held. At 1, most bystanders of a crash would be held; each further crash costs an endpoint for seconds, with the streams on it. */
 const leastEnds = 2;
-/** Ends so close together count as one, in milliseconds: a rack or a hall that goes takes several runs of a content that many ask for. */
+/** Crashes within this time of each other count as one, in milliseconds. The loss of a rack or hall interrupts several runs of a frequent content. */
 const sameMomentMs = 200;
-/** How long a content is held back at first, in milliseconds; twice as long after each further end: a caller that was wronged is served again within a minute, and one that is rightly held ends an endpoint once in a quarter of an hour in the end. */
-const firstHoldMs = 60_000;
-/** Longest such time, in milliseconds. */
-const longestHoldMs = 900_000;
-/** How long an end is remembered, in milliseconds: twice the longest hold, so that none lapses while it is in force. */
-const forgetMs = 1_800_000;
-/** Contents kept, those held back last of all to go: half a megabyte. */
-const mostContents = 512;
-/** Ends kept of one content: the holds stop growing with the sixth. */
-const mostEndsKept = 8;
-/** Refuted ends kept of one content: more than its ends, since some are told of before their end is. */
-const mostRefutedKept = 32;
-/** Contents that one report tells of. */
+/** Length of the first hold, in milliseconds; it doubles with each further crash. Short, since the content may be a bystander. */
+const minHoldMs = 60_000;
+/** Longest hold, in milliseconds. */
+const maxHoldMs = 900_000;
+/** How long a crash is remembered, in milliseconds: longer than the longest hold, so that it does not expire during one. */
+const retentionMs = 1_800_000;
+/** Largest number of contents kept; about half a megabyte. */
+const maxContents = 512;
+/** Crashes kept per content: more than it takes to reach the longest hold. */
+const maxCrashes = 8;
+/** Refuted crashes kept per content: more than crashes, since a refutation may arrive before its crash. */
+const maxRefuted = 32;
+/** Largest number of contents in one report. */
 export const mostReported = 32;
 
-/** A content by its name, with the length of its body: comparing that is enough for nearly all requests. */
+/** Identifies a content. Comparing the length first avoids the digest for most requests. */
 export type ContentName = {
 	readonly digest: string;
 	readonly bytes: number;
 };
 
-/** What may be done with a request. `trial`: its time is over, and one run may show whether it still ends endpoints. */
+/** Whether a request may run. `trial`: the hold has expired, and one run may show whether the content still crashes endpoints. */
 export type CrashVerdict
 	= | {readonly kind: 'free'}
 		| {readonly kind: 'trial'}
 		| {readonly kind: 'held'; readonly leftMs: number};
 
-const usualRule: CrashRule = {leastEnds, sameMomentMs};
+const defaultRule: CrashRule = {leastEnds, sameMomentMs};
 
 type Suspect = {
 	readonly bytes: number;
 	readonly knownSince: number;
-	/** When each endpoint's start ended, by this host's clock. */
+	/** When each endpoint process crashed, in milliseconds of this host's clock. */
 	readonly ends: Map<string, number>;
 	readonly refuted: Set<string>;
 };
 
 const free: CrashVerdict = {kind: 'free'};
 
-/** All that one host knows of such contents. */
+/** The contents that one host suspects. */
 export class CrashSuspects {
 	readonly #suspects = new Map<string, Suspect>();
-	/** Contents by the length of their bodies. */
+	/** Number of contents by body length. */
 	readonly #lengths = new Map<number, number>();
 	readonly #rule: CrashRule;
 
-	constructor(rule: CrashRule = usualRule) {
+	constructor(rule: CrashRule = defaultRule) {
 		this.#rule = rule;
 	}
 
-	/** Whether nothing is suspected of any request whose body has this length. */
+	/** Whether no suspected content has this length, in bytes. */
 	isClear(bytes: number): boolean {
 		return !this.#lengths.has(bytes);
 	}
 
-	/** Whether an endpoint has ended under a content that has not gone well since. */
+	/** Whether a content has at least one crash that counts. */
 	isSuspect({digest, bytes}: ContentName, now: number): boolean {
 		const suspect = this.isClear(bytes) ? undefined : this.#suspects.get(digest);
-		return suspect !== undefined && listCounted(suspect, this.#rule.sameMomentMs, now).length > 0;
+		return suspect !== undefined && listCountedTimes(suspect, this.#rule.sameMomentMs, now).length > 0;
 	}
 
-	/** Notes that an endpoint ended under a content; returns whether that was news. */
+	/** Records that an endpoint crashed while it ran a content; returns whether the crash was new. */
 	noteEnd({digest, bytes}: ContentName, end: string, at: number): boolean {
-		const suspect = this.#suspectOf(digest, bytes, at);
+		const suspect = this.#getOrAdd(digest, bytes, at);
 		const known = suspect.ends.get(end);
 		if (known !== undefined) {
-			// News that were held up make an end look later than it was
+			// A delayed report makes a crash look later than it was
 			suspect.ends.set(end, Math.min(known, at));
 			return false;
 		}
 
 		suspect.ends.set(end, at);
-		trim(suspect.ends, mostEndsKept);
+		trim(suspect.ends, maxCrashes);
 		return true;
 	}
 
-	/** A request of this content went well: no end that is known now was its fault. Returns whether that was news. */
+	/** Records that a run of a content succeeded, which refutes all its known crashes. Returns whether any of them was not refuted before. */
 	noteGood({digest, bytes}: ContentName): boolean {
 		const suspect = this.isClear(bytes) ? undefined : this.#suspects.get(digest);
 		return suspect !== undefined && refute(suspect, suspect.ends.keys());
 	}
 
-	/** What was taken for an endpoint's end was none. Returns the contents that this clears of it. */
+	/** Refutes a crash for all contents, as when the endpoint turns out to be alive. Returns the contents for which that was new. */
 	refuteEnd(end: string): string[] {
 		const cleared: string[] = [];
 		for (const [digest, suspect] of this.#suspects) {
@@ -116,30 +114,30 @@
 		return cleared;
 	}
 
-	/** Takes over what another host tells; returns the ends that were news. */
+	/** Merges another host's report; returns the crashes that were new. */
 	hear({content, bytes, ends, refuted}: CrashReport, now: number): string[] {
 		const news: string[] = [];
 		for (const {end, ageMs} of ends) {
-			if (ageMs < forgetMs && this.noteEnd({digest: content, bytes}, end, now - ageMs)) {
+			if (ageMs < retentionMs && this.noteEnd({digest: content, bytes}, end, now - ageMs)) {
 				news.push(end);
 			}
 		}
 
 		if (refuted.length > 0) {
-			// Kept also where its end is not known yet: what hosts hear may come in any order
-			refute(this.#suspectOf(content, bytes, now), refuted);
+			// Kept even if the crash is not known yet, since reports may arrive in any order
+			refute(this.#getOrAdd(content, bytes, now), refuted);
 		}
 
 		return news;
 	}
 
-	/** What may be done with a request of this content. */
+	/** Whether a request with this content may run. */
 	judge({digest, bytes}: ContentName, now: number): CrashVerdict {
 		const suspect = this.isClear(bytes) ? undefined : this.#suspects.get(digest);
 		return suspect === undefined ? free : this.#judge(suspect, now);
 	}
 
-	/** What is to be told of a content. */
+	/** Report on a content for the other hosts; undefined if it is not suspected. */
 	report(digest: string, now: number): CrashReport | undefined {
 		const suspect = this.#suspects.get(digest);
 		if (suspect === undefined) {
@@ -152,7 +150,7 @@
 		};
 	}
 
-	/** Contents that are held back or on trial, the last that were noted first. */
+	/** Lists contents that are held or on trial, the most recent first. */
 	listHeld(now: number): string[] {
 		const held: string[] = [];
 		for (const [digest, suspect] of [...this.#suspects].toReversed()) {
@@ -164,40 +162,39 @@
 		return held;
 	}
 
-	/** Forgets what is old. */
+	/** Removes contents whose crashes have all expired. */
 	sweep(now: number): void {
 		for (const [digest, {knownSince, ends}] of this.#suspects) {
-			if (now - Math.max(knownSince, ...ends.values()) > forgetMs) {
-				this.#drop(digest);
+			if (now - Math.max(knownSince, ...ends.values()) > retentionMs) {
+				this.#remove(digest);
 			}
 		}
 	}
 
-	/** Contents that are remembered. */
 	get size(): number {
 		return this.#suspects.size;
 	}
 
 	#judge(suspect: Suspect, now: number): CrashVerdict {
-		const counted = listCounted(suspect, this.#rule.sameMomentMs, now);
+		const counted = listCountedTimes(suspect, this.#rule.sameMomentMs, now);
 		const latest = counted.at(-1);
 		if (latest === undefined || counted.length < this.#rule.leastEnds) {
 			return free;
 		}
 
-		const holdMs = Math.min(longestHoldMs, firstHoldMs * (2 ** (counted.length - this.#rule.leastEnds)));
+		const holdMs = Math.min(maxHoldMs, minHoldMs * (2 ** (counted.length - this.#rule.leastEnds)));
 		const leftMs = latest + holdMs - now;
 		return leftMs > 0 ? {kind: 'held', leftMs} : {kind: 'trial'};
 	}
 
-	#suspectOf(digest: string, bytes: number, now: number): Suspect {
+	#getOrAdd(digest: string, bytes: number, now: number): Suspect {
 		const known = this.#suspects.get(digest);
 		if (known !== undefined) {
 			return known;
 		}
 
-		if (this.#suspects.size >= mostContents) {
-			this.#drop(this.#findLeast());
+		if (this.#suspects.size >= maxContents) {
+			this.#remove(this.#findEvictable());
 		}
 
 		const suspect: Suspect = {
@@ -208,8 +205,8 @@
 		return suspect;
 	}
 
-	/** The content that is missed least: the oldest with fewer ends than hold it back, else the oldest. */
-	#findLeast(): string {
+	/** Content to evict: the oldest with too few crashes to be held, else the oldest. */
+	#findEvictable(): string {
 		for (const [digest, {ends, refuted}] of this.#suspects) {
 			if (ends.size - refuted.size < this.#rule.leastEnds) {
 				return digest;
@@ -219,7 +216,7 @@
 		return this.#suspects.keys().next().value ?? '';
 	}
 
-	#drop(digest: string): void {
+	#remove(digest: string): void {
 		const suspect = this.#suspects.get(digest);
 		if (suspect === undefined) {
 			return;
@@ -235,29 +232,29 @@
 	}
 }
 
-/** Marks ends as refuted; returns whether any was news. Ends that are not known yet are marked too: their report may come later. */
+/** Marks crashes as refuted; returns whether any was not before. Crashes that are not known yet are marked too. */
 function refute({refuted}: Suspect, ends: Iterable<string>): boolean {
 	const before = refuted.size;
 	for (const end of ends) {
 		refuted.add(end);
 	}
 
-	const isNews = refuted.size > before;
-	trim(refuted, mostRefutedKept);
-	return isNews;
+	const isNew = refuted.size > before;
+	trim(refuted, maxRefuted);
+	return isNew;
 }
 
-/** Drops the oldest beyond what is kept. */
+/** Removes the oldest entries beyond `most`. */
 function trim(kept: Map<string, number> | Set<string>, most: number): void {
 	while (kept.size > most) {
 		kept.delete(kept.keys().next().value ?? '');
 	}
 }
 
-/** Instants of the ends that count, in order: not refuted, not old, and apart from each other. */
-function listCounted({ends, refuted}: Suspect, apartMs: number, now: number): number[] {
+/** Times of the crashes that count, in order: not refuted, not expired, and more than `apartMs` after the previous one. */
+function listCountedTimes({ends, refuted}: Suspect, apartMs: number, now: number): number[] {
 	const counted: number[] = [];
-	const standing = [...ends].filter(([end, at]) => !refuted.has(end) && now - at <= forgetMs).map(([, at]) => at);
+	const standing = [...ends].filter(([end, at]) => !refuted.has(end) && now - at <= retentionMs).map(([, at]) => at);
 	for (const at of standing.toSorted((left, right) => left - right)) {
 		if (at - (counted.at(-1) ?? Number.NEGATIVE_INFINITY) > apartMs) {
 			counted.push(at);
