--- a/packages/policy/src/relay/departures.ts
+++ b/packages/policy/src/relay/departures.ts
@@ -1,114 +1,114 @@
 /**
- * Starts of endpoints that have left, remembered across the directory's
- * histories. A directory that comes back from a copy lists them as ready
- * until they say again that they leave, or until their entries lapse. Safety:
- * what one host knows of a departure counts at all, until the entry is
- * written anew.
+ * Endpoint processes that have left, remembered across a restore of the
+ * directory. A directory that was restored from a backup lists them as ready
+ * until they announce their departure again or their entries expire. Safety:
+ * a departure that one host knows applies on all hosts until the entry is
+ * written again.
  */
 import {comparePositions, isLater, type Position} from '@gatehead/schema/position';
 import {RecentMap} from '../utils/recent-map.js';
 
-/** For how long a departure contradicts a copy, in milliseconds, from the instant at which its history is first seen: a leaving replica has told the directory again 2 s after its return, the entry of one that has ended lapses after three heartbeats (3.6 s); twice the longer, and a reader that comes late. */
+/** Time for which a departure overrides a restored entry, in milliseconds. Longer than a leaving endpoint takes to announce its departure again (2 s) and than the entry of a stopped one takes to expire (3.6 s). */
 export const contradictionMs = 10_000;
-/** How long a departure is remembered for a copy that may come, in milliseconds: copies are some seconds old. */
-const rememberMs = 60_000;
-/** Departures remembered: a fleet of 1,600 replicas that all start again within a minute. */
-const mostRemembered = 2000;
+/** How long a departure is remembered in case of a restore, in milliseconds: longer than the age of a backup. */
+const retentionMs = 60_000;
+/** Largest number of departures remembered: more than a fleet of 1,600 endpoints that restarts within `retentionMs`. */
+const maxDepartures = 2000;
 
-/** A start that has left, and up to where the directory's history may list it as ready all the same. */
+/** A process that has left, and the position up to which the restored directory's entry for it is stale. */
 export type Departure = Position & {
 	readonly id: string;
-	/** For how long that counts. */
+	/** Time for which the departure overrides the entry, in milliseconds. */
 	readonly leftMs: number;
 };
 
-type Contradiction = {
+type Override = {
 	readonly position: Position;
 	readonly until: number;
 };
 
-/** When a start left, and at which revision of its history the directory said so. */
-type Memory = {
+/** When a process left, and the directory's revision of that. */
+type DepartureRecord = {
 	readonly revision: number;
 	readonly at: number;
 };
 
-/** Departures as one host knows them. */
+/** The departures that one host knows. */
 export class Departures {
-	/** Starts that left, the oldest first. */
-	readonly #departed = new RecentMap<string, Memory>(mostRemembered);
-	/** Starts that a copy may list as ready. */
-	readonly #contradicted = new Map<string, Contradiction>();
+	/** Processes that left, by id, the oldest first. */
+	readonly #departed = new RecentMap<string, DepartureRecord>(maxDepartures);
+	/** Processes that a restored directory may list as ready, by id. */
+	readonly #overrides = new Map<string, Override>();
 
-	/** Notes that a start has left, by the directory's word at a revision. */
+	/** Records that a process left, as of a revision of the directory. */
 	add(id: string, revision: number, now: number): void {
 		this.#departed.set(id, {revision, at: now});
 	}
 
-	/** A start was wrongly taken for one that has left. */
+	/** Removes a departure: the process has not left. */
 	forget(id: string): void {
 		this.#departed.delete(id);
 	}
 
 	/**
-	 * The directory has come back from a copy, first seen at `position`. What
-	 * was written before a start left stands at a lower revision than its
-	 * leaving, whichever history gave that out; what stands above either was
-	 * written anew.
+	 * Records that the directory was restored from a backup and first seen at
+	 * `position`. An entry from before a departure has a lower revision than the
+	 * departure, in either epoch; an entry above the lower of both was written
+	 * after the restore.
 	 */
 	outlive(position: Position, now: number): void {
-		for (const [id, {position: {revision}}] of this.#contradicted) {
+		for (const [id, {position: {revision}}] of this.#overrides) {
 			if (!this.#departed.has(id)) {
 				this.add(id, revision, now);
 			}
 		}
 
 		for (const [id, {revision, at}] of this.#departed.entries()) {
-			if (now - at <= rememberMs) {
-				this.#contradicted.set(id, {position: {...position, revision: Math.min(position.revision, revision)}, until: now + contradictionMs});
+			if (now - at <= retentionMs) {
+				this.#overrides.set(id, {position: {...position, revision: Math.min(position.revision, revision)}, until: now + contradictionMs});
 			}
 		}
 	}
 
-	/** Whether an entry at a position is a copy's, of a start that has left. */
+	/** Whether an entry at a position is a stale one of a process that has left. */
 	covers(id: string, position: Position): boolean {
-		// Nearly always empty, and asked before every send
-		if (this.#contradicted.size === 0) {
+		// Called before every send, and empty unless the directory was restored lately
+		if (this.#overrides.size === 0) {
 			return false;
 		}
 
-		const found = this.#contradicted.get(id);
+		const found = this.#overrides.get(id);
 		return found !== undefined && !isLater(position, found.position);
 	}
 
-	/** Departures that contradict a copy now. */
+	/** Lists departures that override restored entries now. */
 	list(now: number): Departure[] {
-		return [...this.#contradicted].map(([id, {position, until}]) => ({id, ...position, leftMs: Math.max(0, until - now)}));
+		return [...this.#overrides].map(([id, {position, until}]) => ({id, ...position, leftMs: Math.max(0, until - now)}));
 	}
 
-	/** Takes over another host's word: of two that saw one history begin, the one that saw less of it knows better what is the copy's. */
+	/** Merges another host's departure. Within one epoch the lower position counts: that host saw the restored directory earlier, with fewer new entries. */
 	hear({id, leftMs, ...position}: Departure, now: number): void {
 		const until = now + Math.min(leftMs, contradictionMs);
-		const known = this.#contradicted.get(id);
+		const known = this.#overrides.get(id);
 		const order = known === undefined ? 'later' : comparePositions(position, known.position);
 		if (known === undefined || (order === 'later' && position.epoch !== known.position.epoch)) {
-			this.#contradicted.set(id, {position, until});
+			this.#overrides.set(id, {position, until});
 		} else if (order === 'earlier' && position.epoch === known.position.epoch) {
-			this.#contradicted.set(id, {position, until: Math.min(until, known.until)});
+			this.#overrides.set(id, {position, until: Math.min(until, known.until)});
 		}
 	}
 
-	/** Forgets what contradicts no longer; returns the starts. */
+	/** Removes departures that no longer override entries; returns their ids. */
 	sweep(now: number): string[] {
-		const over: string[] = [];
-		for (const [id, {until}] of this.#contradicted) {
+		const expired: string[] = [];
+		for (const [id, {until}] of this.#overrides) {
 			if (now > until) {
-				this.#contradicted.delete(id);
+				this.#overrides.delete(id);
 				this.#departed.delete(id);
-				over.push(id);
+				expired.push(id);
 			}
 		}
 
-		return over;
+		return expired;
 	}
 }
--- a/packages/policy/src/relay/endpoint-change.ts
+++ b/packages/policy/src/relay/endpoint-change.ts
@@ -1,29 +1,29 @@
-/** What is told to the endpoint book, and what it says of it. Neither safety nor efficiency rests here. */
+/** Input of the endpoint book, and the changes that result. */
 import {type Position} from '@gatehead/schema/position';
 import {type Endpoint, type ListedEndpoint} from '@gatehead/schema/routing';
 
-/** What changed for one endpoint. */
+/** A change of one endpoint. */
 export type BookChange = {
 	readonly endpoint: Endpoint;
-	/** Where in the directory's history that is written; absent: it does not say so. */
+	/** Position of the entry that caused the change; absent if the change follows from no entry of the endpoint. */
 	readonly position?: Position;
 	readonly change: 'added' | 'changed' | 'restaged' | 'leaving' | 'vanished' | 'unreadable' | 'gone' | 'outdated';
 };
 
-/** All entries of the directory, as one host knows them. */
+/** Entries of the directory as of a position. */
 export type BookList = {
-	/** Entries in full: all, or those written lately. */
+	/** Entries in full: all, or those written recently. */
 	readonly listed: readonly ListedEndpoint[];
 	/** Ids of all entries. */
 	readonly ids: ReadonlySet<string>;
 	readonly position: Position;
-	/** The list was read while the directory answered, by another host. */
+	/** Another host read the list while the directory was available. */
 	readonly isWitnessed?: boolean;
-	/** Entries among them that have vanished, and that its teller keeps for a grace. */
+	/** Listed entries that have vanished from the directory, and that the sender keeps for a grace period. */
 	readonly kept?: readonly KeptEntry[];
 };
 
-/** An entry that has vanished and is kept for a while. */
+/** An entry that has vanished and is kept for `leftMs` more, in milliseconds. */
 export type KeptEntry = {
 	readonly id: string;
 	readonly leftMs: number;
