--- a/packages/policy/src/relay/directory-readers.test.ts
+++ b/packages/policy/src/relay/directory-readers.test.ts
@@ -1,11 +1,10 @@
-/** Catalogue: how many hosts read the directory, and who takes over from one that is gone. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {
 	isDirectoryReader, isReaderSilent, isSpareReader, listConfirmers, standInAfterMs, viewReading, type PlacedHost,
 } from './directory-readers.js';
 
-/** Hosts dealt in turn to so many halls. */
+/** Hosts assigned to halls in turn. */
 function makeFleet(hosts: number, halls: number): PlacedHost[] {
 	return Array.from({length: hosts}, (_, index) => ({host: `host-${index}`, hall: `hall-${index % halls}`}));
 }
@@ -23,25 +22,25 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'a lone host reads', hosts: 1, halls: 1, readers: 1,
+		name: 'a single host reads', hosts: 1, halls: 1, readers: 1,
 	},
 	{
-		name: 'in a small fleet all do', hosts: 12, halls: 3, readers: 12,
+		name: 'all hosts of a small fleet read', hosts: 12, halls: 3, readers: 12,
 	},
 	{
-		name: 'in a larger one of five halls one in each', hosts: 20, halls: 5, readers: 5,
+		name: 'five halls have one reader each', hosts: 20, halls: 5, readers: 5,
 	},
 	{
-		name: 'their number does not grow with the fleet', hosts: 350, halls: 6, readers: 6,
+		name: 'the number of readers does not grow with the fleet', hosts: 350, halls: 6, readers: 6,
 	},
 	{
-		name: 'three halls have three', hosts: 58, halls: 3, readers: 3,
+		name: 'three halls have one reader each', hosts: 58, halls: 3, readers: 3,
 	},
 	{
-		name: 'two halls have two each, so that two may be lost', hosts: 40, halls: 2, readers: 4,
+		name: 'two halls have two readers each, so that two may fail', hosts: 40, halls: 2, readers: 4,
 	},
 	{
-		name: 'one hall has three', hosts: 40, halls: 1, readers: 3,
+		name: 'one hall has three readers', hosts: 40, halls: 1, readers: 3,
 	},
 ];
 
@@ -56,18 +55,18 @@
 		});
 	}
 
-	it('the next of the same hall takes over from one that is gone, the others stay', () => {
+	it('a lost reader is replaced by one of its hall, and the others stay', () => {
 		const fleet = makeFleet(195, 5);
 		const before = listReaders(fleet);
 		for (const lost of before) {
 			const after = listReaders(fleet.filter(({host}) => host !== lost.host));
-			const taken = after.filter(({host}) => before.every(each => each.host !== host));
-			expect(taken.map(({hall}) => hall)).toEqual([lost.hall]);
+			const replacements = after.filter(({host}) => before.every(each => each.host !== host));
+			expect(replacements.map(({hall}) => hall)).toEqual([lost.hall]);
 			expect(after.length).toEqual(before.length);
 		}
 	});
 
-	it('a silent reader is told from other silent hosts', () => {
+	it('a silent reader is distinguished from other silent hosts', () => {
 		const fleet = makeFleet(60, 3);
 		const readers = new Set(listReaders(fleet).map(({host}) => host));
 		const others = fleet.filter(({host}) => !readers.has(host)).map(({host}) => host);
@@ -76,14 +75,14 @@
 		expect(isReaderSilent(new Set(), fleet)).toEqual(false);
 	});
 
-	it('a hall that is lost whole leaves the readers of the others', () => {
+	it('the loss of a hall leaves the readers of the others', () => {
 		const fleet = makeFleet(195, 5);
 		const left = fleet.filter(({hall}) => hall !== 'hall-0');
 		expect(listReaders(left).length).toEqual(4);
 	});
 });
 
-describe('readers that live and are turned away', () => {
+describe('live readers that cannot read the directory', () => {
 	const away = {directory: 'away'} as const;
 	const answers = {directory: 'answers'} as const;
 	const fleet = makeFleet(90, 3);
@@ -92,16 +91,16 @@
 	type ViewCase = {readonly name: string; readonly alive: readonly PlacedHost[]; readonly isDoubted: boolean; readonly answering: number};
 	const viewCases: readonly ViewCase[] = [
 		{
-			name: 'nothing is said', alive: fleet, isDoubted: false, answering: 0,
+			name: 'no announcement', alive: fleet, isDoubted: false, answering: 0,
 		},
 		{
-			name: 'one reader is turned away', alive: [...fleet.slice(1), {...fleet[0] ?? {host: '', hall: ''}, ...away}], isDoubted: true, answering: 0,
+			name: 'one host cannot read the directory', alive: [...fleet.slice(1), {...fleet[0] ?? {host: '', hall: ''}, ...away}], isDoubted: true, answering: 0,
 		},
 		{
-			name: 'others have been answered since', alive: fleet.map((each, index) => index < 4 ? {...each, ...(index === 0 ? away : answers)} : each), isDoubted: true, answering: 3,
+			name: 'others could read it since', alive: fleet.map((each, index) => index < 4 ? {...each, ...(index === 0 ? away : answers)} : each), isDoubted: true, answering: 3,
 		},
 		{
-			name: 'in a small fleet all read, and nobody stands in', alive: makeFleet(12, 3).map(each => ({...each, ...away})), isDoubted: false, answering: 0,
+			name: 'all hosts of a small fleet read, so there is no failover', alive: makeFleet(12, 3).map(each => ({...each, ...away})), isDoubted: false, answering: 0,
 		},
 	];
 	for (const {
@@ -113,7 +112,7 @@
 		});
 	}
 
-	it('each host stands in, the first few soon, twice as many with each step, all within a second', () => {
+	it('failover reaches all hosts within a second, in groups that double', () => {
 		const alive = fleet.map(each => isReader(each) ? {...each, ...away} : each);
 		const times = alive.filter(each => each.directory === undefined).map(each => standInAfterMs(each, alive)).toSorted((left, right) => left - right);
 		const groups = [...new Set(times)].map(time => times.filter(each => each === time).length);
@@ -121,18 +120,18 @@
 		expect((times.at(-1) ?? 0) < 1000).toEqual(true);
 	});
 
-	it('of many that were answered the first three go on', () => {
+	it('three of the hosts that can read go on', () => {
 		const alive = fleet.map((each, index) => index < 6 ? {...each, ...answers} : {...each, ...away});
 		const view = viewReading(alive);
 		expect(view.answering.filter(host => !isSpareReader(host, view)).length).toEqual(3);
 	});
 
-	it('evidence is asked for at hosts that were answered, never at those that are turned away', () => {
+	it('the configuration is confirmed by hosts that can read, never by those that cannot', () => {
 		const self = {host: 'host-50', hall: 'hall-2'};
-		const turnedAway = fleet.map(each => isReader(each) ? {...each, ...away} : each);
-		const found = listConfirmers(self, turnedAway);
-		expect(found.filter(host => turnedAway.some(each => each.host === host && each.directory === 'away'))).toEqual([]);
-		const answered = turnedAway.map(each => each.host === 'host-7' ? {...each, ...answers} : each);
+		const withAway = fleet.map(each => isReader(each) ? {...each, ...away} : each);
+		const found = listConfirmers(self, withAway);
+		expect(found.filter(host => withAway.some(each => each.host === host && each.directory === 'away'))).toEqual([]);
+		const answered = withAway.map(each => each.host === 'host-7' ? {...each, ...answers} : each);
 		expect(listConfirmers(self, answered)).toEqual(['host-7']);
 	});
 });
--- a/packages/policy/src/relay/directory-readers.ts
+++ b/packages/policy/src/relay/directory-readers.ts
@@ -1,49 +1,48 @@
 /**
- * Which hosts read the directory themselves; the others hear of its changes
- * from them. Each change ends every reader's watch, and each call counts
- * against what the directory bears, so that the readers must not grow with
- * the fleet. One reader a hall is enough: where it is lost, cut off or frozen,
- * its hall hears from the readers of the other halls, and the next by rank
- * takes over once it is suspected. A reader that lives and is turned away says
- * so; until one is answered, more and more hosts read themselves. Efficiency:
- * what is believed rests on versions and revisions, not on who has read them.
+ * Selects the hosts that read the directory; the others receive its changes
+ * from these readers. Every change completes the watch of every reader, so the
+ * number of readers must not grow with the fleet. One per hall is enough: if it
+ * fails, its hall receives changes from the readers of other halls, and the next
+ * host by rank takes over once the failure is suspected. A reader that is alive
+ * but cannot read the directory says so, and further hosts then start to read,
+ * in growing groups, until one of them succeeds.
  */
 import {rank} from '../core/rendezvous.js';
 
-/** What hosts are ranked for: the first of a hall read, the first of all is among them. */
+/** Key of the rendezvous ranking. The first hosts of each hall read, so the first of the fleet is among them. */
 export const readerMatter = 'directory';
-/** Fleet size up to which every host reads the directory itself: its calls are few then, and a host that is cut off from its peers still knows all. */
+/** Fleet size up to which every host reads the directory, which then bears the calls; a host that is cut off from its peers stays up to date. */
 const smallFleet = 12;
-/** Least readers of a larger fleet: two may be lost or cut off together while the third still reads. */
-const leastReaders = 3;
+/** Smallest number of readers in a larger fleet: two may fail together. */
+const minReaders = 3;
 
-/** Time that the other readers get to say that the directory answers them, in milliseconds: a look, and the way to all hosts. */
-const standInGraceMs = 150;
-/** Time between two groups of hosts that begin to read, in milliseconds: an answer, and the way of the word that it came. */
-const standInStepMs = 80;
+/** Time for the other readers to announce that they can read the directory, in milliseconds: one read and one broadcast. */
+const failoverGraceMs = 150;
+/** Time between two groups of hosts that start to read, in milliseconds: one response and its announcement. */
+const failoverStepMs = 80;
 
-/** A host, and where it stands. */
+/** A host and its hall. */
 export type PlacedHost = {
 	readonly host: string;
 	readonly hall: string;
-	/** What it says of the directory. */
+	/** What it announced: `away`: it cannot read the directory; `answers`: it could after another reader could not. */
 	readonly directory?: 'away' | 'answers' | undefined;
 };
 
-/** What the hosts alive say of reading the directory. */
+/** Whether the live hosts can read the directory, as they announced it. */
 export type ReadingView = {
-	/** A host that reads for others says that it is turned away: all that read may be. */
+	/** A host announced that it cannot read the directory; other readers may have failed as well. */
 	readonly isDoubted: boolean;
-	/** Hosts that were answered since, first by rank. */
+	/** Hosts that could read the directory since, in rank order. */
 	readonly answering: readonly string[];
 };
 
-/** Whether every host reads for itself, so that none does for others. */
+/** Whether the fleet is so small that every host reads the directory. */
 export function isSmallFleet(alive: readonly PlacedHost[]): boolean {
 	return alive.length <= smallFleet;
 }
 
-/** Whether a host reads the directory, among the hosts alive, itself among them. */
+/** Whether a host reads the directory. `alive` includes the host itself. */
 export function isDirectoryReader(self: PlacedHost, alive: readonly PlacedHost[]): boolean {
 	if (isSmallFleet(alive)) {
 		return true;
@@ -53,12 +52,12 @@
 	return listFirst(self.hall, alive, halls.size).includes(self.host);
 }
 
-/** Whether one of the silent hosts reads the directory: its neighbours read as well until it is heard or replaced, so that readers which are lost together leave no gap. By the default times three readers that are lost in silence are replaced after 3.4 s (suspicion 2.1 s, a tick 0.8 s, a look 0.5 s), their neighbours read after 1.7 s; endpoints that left may get requests for 3 s. */
+/** Whether one of the silent hosts is a reader. Its neighbours then read the directory until it is heard again or replaced, so that readers that fail together leave no gap: by default it takes 3.4 s to replace them, while endpoints that left may get requests for 3 s only. */
 export function isReaderSilent(silent: ReadonlySet<string>, alive: readonly PlacedHost[]): boolean {
 	return silent.size > 0 && alive.some(each => silent.has(each.host) && isDirectoryReader(each, alive));
 }
 
-/** What the hosts alive say of reading. */
+/** Summarizes what the live hosts announced; empty in a small fleet, where every host reads for itself. */
 export function viewReading(alive: readonly PlacedHost[]): ReadingView {
 	const readers = isSmallFleet(alive) ? [] : alive;
 	return {
@@ -67,33 +66,33 @@
 	};
 }
 
-/** Whether a host that was answered need not go on: enough others of a higher rank were. */
+/** Whether a host may stop reading, since enough hosts of a higher rank can read the directory. */
 export function isSpareReader(host: string, {answering}: ReadingView): boolean {
-	return answering.indexOf(host) >= leastReaders;
+	return answering.indexOf(host) >= minReaders;
 }
 
-/** Time after which a host reads itself, where those that should are turned away and nobody says that the directory answers, in milliseconds: the first few soon, then twice as many with each step. Whichever tenth of a fleet can read is found within seven steps, and a directory that is away costs one call of each host. */
+/** Delay after which a host starts to read while the readers cannot, in milliseconds. The first hosts by rank start first, and each step doubles their number, so that a small part of a large fleet that can read is found within a few steps. An unavailable directory costs one call per host. */
 export function standInAfterMs(self: PlacedHost, alive: readonly PlacedHost[]): number {
-	const able = alive.filter(({directory}) => directory !== 'away').map(({host}) => host);
-	const place = rank(readerMatter, able).indexOf(self.host);
-	return standInGraceMs + (standInStepMs * Math.max(0, Math.ceil(Math.log2((place + 1) / leastReaders))));
+	const capable = alive.filter(({directory}) => directory !== 'away').map(({host}) => host);
+	const position = rank(readerMatter, capable).indexOf(self.host);
+	return failoverGraceMs + (failoverStepMs * Math.max(0, Math.ceil(Math.log2((position + 1) / minReaders))));
 }
 
-/** The hosts of a hall that come first: as many as make the least number of readers in all halls together. */
+/** The first hosts of a hall by rank, so many that all halls together have `minReaders`. */
 function listFirst(hall: string, alive: readonly PlacedHost[], halls: number): string[] {
-	const near = alive.filter(each => each.hall === hall).map(({host}) => host);
-	return rank(readerMatter, near).slice(0, Math.ceil(leastReaders / halls));
+	const local = alive.filter(each => each.hall === hall).map(({host}) => host);
+	return rank(readerMatter, local).slice(0, Math.ceil(minReaders / halls));
 }
 
-/** Hosts that are asked how fresh the configuration is, in the order to ask them: the readers of each hall, the own hall's first. Asking these alone keeps the calls at the directory few, whatever the fleet's size; where one of them is turned away by the directory, the next is asked. */
+/** Hosts to query for the freshness of the configuration, in order: the readers of each hall, starting with the own hall; while readers cannot read the directory, the hosts that can. Querying only these bounds the calls to the directory at any fleet size. */
 export function listConfirmers(self: PlacedHost, alive: readonly PlacedHost[]): string[] {
 	const answering = alive.filter(({directory}) => directory === 'answers').map(({host}) => host);
 	if (answering.length > 0) {
-		return rank(self.host, answering).slice(0, leastReaders);
+		return rank(self.host, answering).slice(0, minReaders);
 	}
 
-	const able = alive.filter(({directory}) => directory !== 'away');
-	const halls = [...new Set(able.map(({hall}) => hall))];
+	const capable = alive.filter(({directory}) => directory !== 'away');
+	const halls = [...new Set(capable.map(({hall}) => hall))];
 	const others = rank(self.host, halls.filter(hall => hall !== self.hall));
-	return [self.hall, ...others].flatMap(hall => listFirst(hall, able, halls.length));
+	return [self.hall, ...others].flatMap(hall => listFirst(hall, capable, halls.length));
 }
