--- a/packages/policy/src/relay/endpoint-health.test.ts
+++ b/packages/policy/src/relay/endpoint-health.test.ts
@@ -1,4 +1,3 @@
-/** Catalogue: which endpoints are set aside, for how long, and how they come back. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {EndpointHealth, type Outcome} from './endpoint-health.js';
@@ -12,20 +11,20 @@
 const good: Outcome[] = Array.from({length: 10}, () => 'good');
 
 const cases: readonly Case[] = [
-	{name: 'one broken answer is not enough', outcomes: ['broken'], isUsable: true},
-	{name: 'two are', outcomes: ['broken', 'broken'], isUsable: false},
-	{name: 'one silence is', outcomes: ['silent'], isUsable: false},
-	{name: 'two among many good ones are not', outcomes: [...good, 'broken', 'broken'], isUsable: true},
-	{name: 'an error now and then is the request\'s own', outcomes: [...good, 'error', ...good, 'error'], isUsable: true},
-	{name: 'errors in half of all answers are not', outcomes: ['good', 'error', 'good', 'error', 'error', 'good', 'error', 'error'], isUsable: false},
-	{name: 'a full endpoint is not a failing one', outcomes: ['refused', 'refused', 'refused', 'refused', 'good'], isUsable: true},
-	{name: 'an overdue answer or two may be the requests\' own', outcomes: ['good', 'good', 'overdue', 'overdue', 'overdue'], isUsable: true},
-	{name: 'many overdue ones are not', outcomes: ['good', 'overdue', 'overdue', 'overdue', 'overdue', 'overdue'], isUsable: false},
-	{name: 'a request that fails at each of its tries says little', outcomes: ['good', 'good', 'good', 'error', 'error', 'error'], isUsable: true},
-	{name: 'an answer that nobody waits for says nothing', outcomes: ['cancelled', 'cancelled', 'cancelled'], isUsable: true},
+	{name: 'one broken response does not pause', outcomes: ['broken'], isUsable: true},
+	{name: 'two broken responses pause', outcomes: ['broken', 'broken'], isUsable: false},
+	{name: 'one silent response pauses', outcomes: ['silent'], isUsable: false},
+	{name: 'two broken responses among many good ones do not pause', outcomes: [...good, 'broken', 'broken'], isUsable: true},
+	{name: 'occasional errors do not pause', outcomes: [...good, 'error', ...good, 'error'], isUsable: true},
+	{name: 'errors in half of the responses pause', outcomes: ['good', 'error', 'good', 'error', 'error', 'good', 'error', 'error'], isUsable: false},
+	{name: 'refusals do not pause', outcomes: ['refused', 'refused', 'refused', 'refused', 'good'], isUsable: true},
+	{name: 'three overdue responses do not pause', outcomes: ['good', 'good', 'overdue', 'overdue', 'overdue'], isUsable: true},
+	{name: 'many overdue responses pause', outcomes: ['good', 'overdue', 'overdue', 'overdue', 'overdue', 'overdue'], isUsable: false},
+	{name: 'three errors after as many good responses do not pause', outcomes: ['good', 'good', 'good', 'error', 'error', 'error'], isUsable: true},
+	{name: 'cancelled requests do not pause', outcomes: ['cancelled', 'cancelled', 'cancelled'], isUsable: true},
 ];
 
-function play(outcomes: readonly Outcome[]): EndpointHealth {
+function replay(outcomes: readonly Outcome[]): EndpointHealth {
 	const health = new EndpointHealth();
 	for (const outcome of outcomes) {
 		health.begin('a');
@@ -38,12 +37,12 @@
 describe('endpoint health', () => {
 	for (const {name, outcomes, isUsable} of cases) {
 		it(name, () => {
-			expect(play(outcomes).isUsable('a', 1)).toEqual(isUsable);
+			expect(replay(outcomes).isUsable('a', 1)).toEqual(isUsable);
 		});
 	}
 
-	it('after a pause one request at a time goes there until one is good', () => {
-		const health = play(['broken', 'broken']);
+	it('after a pause an endpoint gets one request at a time until one succeeds', () => {
+		const health = replay(['broken', 'broken']);
 		expect(health.isUsable('a', 1600)).toEqual(true);
 		health.begin('a');
 		expect(health.isUsable('a', 1600)).toEqual(false);
@@ -52,13 +51,13 @@
 		expect(health.isUsable('a', 1700)).toEqual(true);
 	});
 
-	it('a failure on trial doubles the pause', () => {
-		const health = play(['broken', 'broken']);
+	it('a failure after a pause doubles the next one', () => {
+		const health = replay(['broken', 'broken']);
 		health.begin('a');
 		expect(health.end('a', 'broken', 1600)?.leftMs).toEqual(3000);
 	});
 
-	it('a peer\'s pause is taken over once', () => {
+	it('a peer\'s pause is adopted once', () => {
 		const health = new EndpointHealth();
 		expect(health.hear({endpoint: 'a', leftMs: 3000}, 0)).toEqual(true);
 		expect(health.hear({endpoint: 'a', leftMs: 2900}, 100)).toEqual(false);
--- a/packages/policy/src/relay/endpoint-health.ts
+++ b/packages/policy/src/relay/endpoint-health.ts
@@ -1,26 +1,26 @@
 /**
- * Which endpoints fail, judged by what became of this host's own sends and
- * by what other hosts say. Efficiency: an endpoint set aside wrongly costs
- * room; it is tried again soon, with one request at a time.
+ * Circuit breaker per endpoint, from the outcomes of this host's requests and
+ * the pauses of other hosts. After a pause the endpoint is on trial: it gets
+ * one request at a time until one succeeds.
  */
 
-/** What became of a send. */
+/** Outcome of a request to an endpoint. */
 export type Outcome = 'good' | 'error' | 'broken' | 'silent' | 'overdue' | 'refused' | 'cancelled';
 
-/** How much an outcome speaks against an endpoint; its own error, and an answer that is overdue, may be the request's fault. */
+/** Weights of failures. An error response and an overdue one may be the request's fault, and a refusal means that the endpoint is full. */
 const weights: Readonly<Record<Exclude<Outcome, 'cancelled'>, number>> = {
 	good: 0, error: 0.5, broken: 1, silent: 2, overdue: 0.5, refused: 0.1,
 };
-/** Time in which an outcome's weight halves, in milliseconds: a few times as long as an endpoint takes to come back. */
+/** Half-life of an outcome's weight, in milliseconds: a few times as long as an endpoint takes to restart. */
 const halfLifeMs = 4000;
-/** Weight of bad outcomes from which on an endpoint may be set aside: one silence, or two breaks within half a second. */
-const leastBad = 1.9;
-/** Share of bad outcomes from which on it is: who fails three in ten costs more than its room is worth. */
-const badShare = 0.3;
-/** First time that it is set aside, in milliseconds; it doubles with each following one: about as long as a restart takes. */
-const firstPauseMs = 1500;
-/** The longest such time, in milliseconds: an endpoint that is well again is missed no longer. */
-const longestPauseMs = 12_000;
+/** Smallest weight of failures that pauses an endpoint: one silent response, or two broken ones within half a second. */
+const minFailureWeight = 1.9;
+/** Smallest share of failures, by weight, that pauses an endpoint. */
+const minFailureShare = 0.3;
+/** Length of the first pause, in milliseconds: about as long as a restart. It doubles with each further pause. */
+const minPauseMs = 1500;
+/** Longest pause, in milliseconds. */
+const maxPauseMs = 12_000;
 
 type HealthRecord = {
 	good: number;
@@ -28,22 +28,22 @@
 	at: number;
 	pausedUntil: number;
 	pauseMs: number;
-	/** Sends in work after a pause: one at a time until one is good. */
+	/** Requests in flight on trial. */
 	trials: number;
 	isOnTrial: boolean;
 };
 
-/** A pause that another host may take over. */
+/** A pause, with the time left in milliseconds, as sent to other hosts. */
 export type Pause = {
 	readonly endpoint: string;
 	readonly leftMs: number;
 };
 
-/** Health of the endpoints as one host sees it. */
+/** Health of the endpoints as seen by one host. */
 export class EndpointHealth {
 	readonly #records = new Map<string, HealthRecord>();
 
-	/** Whether an endpoint gets work now. */
+	/** Whether an endpoint may get a request now. */
 	isUsable(endpoint: string, now: number): boolean {
 		const record = this.#records.get(endpoint);
 		if (record === undefined) {
@@ -53,18 +53,18 @@
 		return now >= record.pausedUntil && (!record.isOnTrial || record.trials === 0);
 	}
 
-	/** Share of bad outcomes lately, from 0 to 1. */
+	/** Smoothed share of recent failures, from 0 to 1. */
 	badness(endpoint: string, now: number): number {
 		const record = this.#records.get(endpoint);
 		if (record === undefined) {
 			return 0;
 		}
 
-		this.#age(record, now);
+		this.#decay(record, now);
 		return record.bad / (record.good + record.bad + 1);
 	}
 
-	/** Notes a send. */
+	/** Records the start of a request. */
 	begin(endpoint: string): void {
 		const record = this.#records.get(endpoint);
 		if (record?.isOnTrial) {
@@ -72,15 +72,15 @@
 		}
 	}
 
-	/** Notes what became of a send; returns the pause where it begins one. */
+	/** Records the outcome of a request; returns the pause if it starts one. */
 	end(endpoint: string, outcome: Outcome, now: number): Pause | undefined {
 		if (outcome === 'cancelled') {
 			this.abandon(endpoint);
 			return undefined;
 		}
 
-		const record = this.#recordOf(endpoint, now);
-		this.#age(record, now);
+		const record = this.#getOrAdd(endpoint, now);
+		this.#decay(record, now);
 		record.trials = Math.max(0, record.trials - 1);
 		const weight = weights[outcome];
 		if (weight === 0) {
@@ -90,14 +90,14 @@
 		}
 
 		record.bad += weight;
-		if (now < record.pausedUntil || !this.#isBad(record, outcome)) {
+		if (now < record.pausedUntil || !this.#isFailing(record, outcome)) {
 			return undefined;
 		}
 
 		return {endpoint, leftMs: this.#pause(record, now)};
 	}
 
-	/** Notes that a send ended without saying anything about its endpoint. */
+	/** Records the end of a request that says nothing about its endpoint. */
 	abandon(endpoint: string): void {
 		const record = this.#records.get(endpoint);
 		if (record !== undefined) {
@@ -105,11 +105,11 @@
 		}
 	}
 
-	/** Takes over another host's pause; returns whether it was news. */
+	/** Merges another host's pause; returns whether it is much longer than the known one, and was adopted. */
 	hear({endpoint, leftMs}: Pause, now: number): boolean {
-		const record = this.#recordOf(endpoint, now);
-		const until = now + Math.min(leftMs, longestPauseMs);
-		if (until <= record.pausedUntil + firstPauseMs) {
+		const record = this.#getOrAdd(endpoint, now);
+		const until = now + Math.min(leftMs, maxPauseMs);
+		if (until <= record.pausedUntil + minPauseMs) {
 			return false;
 		}
 
@@ -118,7 +118,7 @@
 		return true;
 	}
 
-	/** Pauses now in force. */
+	/** Lists pauses in force. */
 	listPauses(now: number): Pause[] {
 		const pauses: Pause[] = [];
 		for (const [endpoint, {pausedUntil}] of this.#records) {
@@ -130,38 +130,38 @@
 		return pauses;
 	}
 
-	/** Forgets an endpoint that is gone. */
+	/** Removes an endpoint that has left. */
 	forget(endpoint: string): void {
 		this.#records.delete(endpoint);
 	}
 
-	#isBad({good, bad, isOnTrial}: HealthRecord, outcome: Outcome): boolean {
+	#isFailing({good, bad, isOnTrial}: HealthRecord, outcome: Outcome): boolean {
 		if (isOnTrial && outcome !== 'refused') {
 			return true;
 		}
 
-		return bad >= leastBad && bad / (good + bad) >= badShare;
+		return bad >= minFailureWeight && bad / (good + bad) >= minFailureShare;
 	}
 
 	#pause(record: HealthRecord, now: number): number {
-		record.pauseMs = Math.min(longestPauseMs, record.pauseMs === 0 ? firstPauseMs : 2 * record.pauseMs);
+		record.pauseMs = Math.min(maxPauseMs, record.pauseMs === 0 ? minPauseMs : 2 * record.pauseMs);
 		record.pausedUntil = now + record.pauseMs;
 		record.isOnTrial = true;
 		record.trials = 0;
 		return record.pauseMs;
 	}
 
-	#age(record: HealthRecord, now: number): void {
+	#decay(record: HealthRecord, now: number): void {
 		const factor = 2 ** ((record.at - now) / halfLifeMs);
 		record.good *= factor;
 		record.bad *= factor;
 		record.at = now;
-		if (now - record.pausedUntil > longestPauseMs) {
+		if (now - record.pausedUntil > maxPauseMs) {
 			record.pauseMs = 0;
 		}
 	}
 
-	#recordOf(endpoint: string, now: number): HealthRecord {
+	#getOrAdd(endpoint: string, now: number): HealthRecord {
 		let record = this.#records.get(endpoint);
 		if (record === undefined) {
 			record = {
--- a/packages/policy/src/relay/endpoint-signals.test.ts
+++ b/packages/policy/src/relay/endpoint-signals.test.ts
@@ -1,4 +1,3 @@
-/** Catalogue: which signals of an endpoint begin, change and end with a row of responses. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {SignalBook, type EndpointSignals, type SignalChange} from './endpoint-signals.js';
@@ -7,7 +6,7 @@
 	limitPerS: undefined, isDraining: false, backoffMs: undefined, malformed: [],
 };
 
-/** A response at an instant, to a request sent `tookMs` before. */
+/** A response at a time, to a request sent `tookMs` before. */
 type Response = {
 	readonly at: number;
 	readonly tookMs?: number;
@@ -22,7 +21,7 @@
 const limitEnded = {signal: 'limit', change: 'ended', value: 5} as const;
 
 const cases: readonly Case[] = [
-	{name: 'nothing stated changes nothing', responses: [{at: 0, signals: {}, changes: []}]},
+	{name: 'a response without signals changes nothing', responses: [{at: 0, signals: {}, changes: []}]},
 	{
 		name: 'a limit begins once, changes, and ends with a response without it', responses: [
 			{at: 0, signals: {limitPerS: 5}, changes: [limitBegan]},
@@ -41,7 +40,7 @@
 		],
 	},
 	{
-		name: 'a response right behind one with a limit does not end it', responses: [
+		name: 'a response shortly after one with a limit does not end it', responses: [
 			{at: 0, signals: {limitPerS: 5}, changes: [limitBegan]},
 			{at: 500, signals: {}, changes: []},
 		],
@@ -100,10 +99,10 @@
 		name: 'within a backoff period', signals: {backoffMs: 3000}, at: 1000, waitMs: 2000, isBackingOff: true, rampShare: 0,
 	},
 	{
-		name: 'a quarter of a second behind it', signals: {backoffMs: 3000}, at: 3250, waitMs: 0, isBackingOff: false, rampShare: 0.25,
+		name: 'a quarter of a second after it', signals: {backoffMs: 3000}, at: 3250, waitMs: 0, isBackingOff: false, rampShare: 0.25,
 	},
 	{
-		name: 'long behind it', signals: {backoffMs: 3000}, at: 9000, waitMs: 0, isBackingOff: false, rampShare: 1,
+		name: 'long after it', signals: {backoffMs: 3000}, at: 9000, waitMs: 0, isBackingOff: false, rampShare: 1,
 	},
 	{
 		name: 'a limit with permits left', signals: {limitPerS: 5}, at: 100, waitMs: 0, isBackingOff: false, rampShare: 1,
@@ -138,7 +137,7 @@
 		expect(book.limitOf('e')).toEqual(undefined);
 	});
 
-	it('operators see each signal in force with its source and the time that is left', () => {
+	it('lists each signal in force with its source and the time left', () => {
 		const book = new SignalBook();
 		book.note('e', {
 			signals: {
--- a/packages/policy/src/relay/endpoint-signals.ts
+++ b/packages/policy/src/relay/endpoint-signals.ts
@@ -9,11 +9,11 @@
 
 /** What one response states. */
 export type EndpointSignals = {
-	/** Requests a second that the endpoint takes from all hosts together; undefined: no limit. */
+	/** Requests per second that the endpoint accepts from all hosts together; undefined: no limit. */
 	readonly limitPerS: number | undefined;
-	/** It finishes its work and takes nothing new. */
+	/** It finishes running requests and accepts no new ones. */
 	readonly isDraining: boolean;
-	/** Time for which it wants no request from this host, in milliseconds; undefined: none stated. */
+	/** Time for which this host should send no request, in milliseconds; undefined: none stated. */
 	readonly backoffMs: number | undefined;
 	/** Names of headers that could not be parsed and were ignored. */
 	readonly malformed: readonly string[];
@@ -23,24 +23,24 @@
 export type SignalChange = {
 	readonly signal: 'limit' | 'drain' | 'backoff';
 	readonly change: 'began' | 'changed' | 'ended';
-	/** The limit in requests a second, or the period in milliseconds. */
+	/** The limit in requests per second, or the backoff period in milliseconds. */
 	readonly value?: number | undefined;
 };
 
-/** One response, with when its request was sent. */
+/** The signals of one response. */
 export type Statement = {
 	readonly signals: EndpointSignals;
 	readonly sentAt: number;
-	/** Whether a missing limit means that there is none: true for responses that name the request, not for calls of the relay's own. */
+	/** Whether a missing limit means that there is none: true for responses that carry the request's id, false for the relay's own calls. */
 	readonly isComplete: boolean;
 };
 
-/** Time without any statement of a limit after which one response without it ends the limit, in milliseconds. Longer than responses overtake each other. */
+/** Time since the last statement of a limit before which a response without one does not end it, in milliseconds. Allows for responses that arrive out of order. */
 const limitHoldMs = 1000;
-/** Endpoints with signals that are remembered; beyond that the oldest is forgotten. */
-const mostEndpoints = 2000;
+/** Largest number of endpoints with signals; the oldest is evicted. */
+const maxEndpoints = 2000;
 
-/** Length of the slow start after a backoff period, in milliseconds. */
+/** Length of the ramp-up after a backoff period, in milliseconds. */
 const rampMs = 1000;
 
 /** The source of signals that this host received itself. */
@@ -52,22 +52,22 @@
 	/** The host that received the drain notice; undefined: there is none. */
 	drainSource: string | undefined;
 	backoffUntil: number;
-	/** Until when no permit can be had. */
+	/** Before this time no permit is available. */
 	permitsFrom: number;
 };
 
 /** Signals in force, by endpoint. */
 export class SignalBook {
-	readonly #records = new RecentMap<string, SignalRecord>(mostEndpoints);
+	readonly #records = new RecentMap<string, SignalRecord>(maxEndpoints);
 
-	/** Takes a response's signals; returns what they change. */
+	/** Records a response's signals; returns what they change. */
 	note(endpoint: string, {signals, sentAt, isComplete}: Statement, now: number): SignalChange[] {
 		const {limitPerS, isDraining, backoffMs} = signals;
 		if (!this.#records.has(endpoint) && limitPerS === undefined && !isDraining && backoffMs === undefined) {
 			return [];
 		}
 
-		const record = this.#recordOf(endpoint);
+		const record = this.#getOrAdd(endpoint);
 		return [
 			...this.#noteLimit(record, limitPerS, isComplete ? sentAt : Number.NEGATIVE_INFINITY, now),
 			...(isDraining ? noteDrain(record, ownSource) : []),
@@ -77,14 +77,14 @@
 
 	/** Merges a limit from another host; the later statement counts. */
 	mergeLimit({endpoint, perS, ageMs}: RateLimit, source: string, now: number): SignalChange[] {
-		const record = this.#recordOf(endpoint);
+		const record = this.#getOrAdd(endpoint);
 		const at = now - ageMs;
 		return record.limit !== undefined && at <= record.limit.at ? [] : setLimit(record, {perS, at, source});
 	}
 
-	/** Merges a drain notice from another host. A notice stands until the endpoint starts anew, which gives it another id. */
+	/** Merges a drain notice from another host. A notice is in force until the endpoint restarts, which changes its id. */
 	mergeDrain(endpoint: string, source: string): SignalChange[] {
-		return noteDrain(this.#recordOf(endpoint), source);
+		return noteDrain(this.#getOrAdd(endpoint), source);
 	}
 
 	/** Whether an endpoint has announced that it drains. */
@@ -97,7 +97,7 @@
 		return [...this.#records.entries()].filter(([, {drainSource}]) => drainSource !== undefined).map(([endpoint]) => endpoint);
 	}
 
-	/** An endpoint's limit in requests a second; undefined: none is in force. */
+	/** An endpoint's limit in requests per second; undefined: none is in force. */
 	limitOf(endpoint: string): number | undefined {
 		return this.#records.get(endpoint)?.limit?.perS;
 	}
@@ -108,7 +108,7 @@
 		return {endpoint, perS: limit?.perS, ageMs: limit === undefined ? 0 : Math.max(0, now - limit.at)};
 	}
 
-	/** All limits, those that have ended among them. */
+	/** Lists all limits, including those that have ended. */
 	listLimits(now: number): RateLimit[] {
 		const limits: RateLimit[] = [];
 		for (const [endpoint, {limit}] of this.#records.entries()) {
@@ -131,12 +131,12 @@
 		return false;
 	}
 
-	/** No permit can be had for an endpoint for a while. */
+	/** Sets the time before which no permit is available for an endpoint. */
 	notePermitsFrom(endpoint: string, from: number): void {
-		this.#recordOf(endpoint).permitsFrom = from;
+		this.#getOrAdd(endpoint).permitsFrom = from;
 	}
 
-	/** Time until an endpoint may get a request from this host, in milliseconds; 0: now. */
+	/** Time until this host may send a request to an endpoint, in milliseconds; 0: now. */
 	waitMs(endpoint: string, now: number): number {
 		const record = this.#records.get(endpoint);
 		if (record === undefined) {
@@ -147,7 +147,7 @@
 		return Math.max(0, record.backoffUntil - now, permitsFrom - now);
 	}
 
-	/** All signals in force, for operators. */
+	/** Lists all signals in force, for the status report. */
 	list(now: number): SignalState[] {
 		return [...this.#records.entries()].flatMap(([endpoint, {limit, drainSource, backoffUntil}]) => [
 			...(limit?.perS === undefined
@@ -164,18 +164,18 @@
 		]);
 	}
 
-	/** Whether an endpoint wants nothing from this host now. */
+	/** Whether an endpoint is in a backoff period. */
 	isBackingOff(endpoint: string, now: number): boolean {
 		return now < (this.#records.get(endpoint)?.backoffUntil ?? now);
 	}
 
-	/** Part of its usual requests that an endpoint gets, from 0 to 1: it rises behind a backoff period. */
+	/** Share of its usual requests that an endpoint gets, from 0 to 1: it rises after a backoff period. */
 	rampShare(endpoint: string, now: number): number {
 		const elapsedMs = now - (this.#records.get(endpoint)?.backoffUntil ?? Number.NEGATIVE_INFINITY);
 		return Math.min(1, Math.max(0, elapsedMs / rampMs));
 	}
 
-	/** An endpoint is gone, and its limit with it. */
+	/** Removes the limit of an endpoint that has left. */
 	forgetLimit(endpoint: string): void {
 		const record = this.#records.get(endpoint);
 		if (record !== undefined) {
@@ -204,7 +204,7 @@
 		return [{signal: 'backoff', change, value: backoffMs}];
 	}
 
-	#recordOf(endpoint: string): SignalRecord {
+	#getOrAdd(endpoint: string): SignalRecord {
 		let record = this.#records.get(endpoint);
 		if (record === undefined) {
 			record = {
@@ -217,7 +217,7 @@
 	}
 }
 
-/** Sets a limit, and forgets when permits were to be had under another one. */
+/** Sets a limit; a changed one makes permits available at once. */
 function setLimit(record: SignalRecord, limit: NonNullable<SignalRecord['limit']>): SignalChange[] {
 	const before = record.limit?.perS;
 	const {perS} = limit;
