--- a/packages/policy/src/relay/endpoint-book.test.ts
+++ b/packages/policy/src/relay/endpoint-book.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: what is believed of endpoints while the directory tells, is away, or tells old news. */
+/** Which endpoints accept requests when the directory is available, unavailable, or restored from a backup. */
 import {describe, it} from 'node:test';
 import {type Position} from '@gatehead/schema/position';
 import {type Endpoint, type ListedEndpoint} from '@gatehead/schema/routing';
@@ -16,14 +16,14 @@
 	};
 }
 
-/** One of the starts that share a name. */
-function started(instance: string, start: string, revision: number): ListedEndpoint {
+/** The entry of one process of an instance. */
+function entryOf(instance: string, start: string, revision: number): ListedEndpoint {
 	const {endpoint} = listed(`${instance}@${start}`, revision);
 	return {revision, endpoint: {...endpoint, instance}};
 }
 
-/** An entry of one of the directory's histories. */
-function within(epoch: number, entry: ListedEndpoint): ListedEndpoint {
+/** An entry in an epoch of the directory. */
+function inEpoch(epoch: number, entry: ListedEndpoint): ListedEndpoint {
 	return {...entry, epoch};
 }
 
@@ -40,44 +40,44 @@
 type Case = {
 	readonly name: string;
 	readonly steps: readonly Step[];
-	/** Endpoints that take work at the end. */
+	/** Endpoints that accept requests at the end. */
 	readonly ready: readonly string[];
 };
 
 const five = ['a', 'b', 'c', 'd', 'e'];
 
 const cases: readonly Case[] = [
-	{name: 'a listed endpoint takes work', steps: [{put: listed('a', 1)}], ready: ['a']},
-	{name: 'a leaving one does not', steps: [{put: listed('a', 1)}, {put: listed('a', 2, 'leaving')}], ready: []},
-	{name: 'another start under one name takes the place of the earlier', steps: [{put: started('a', '1', 1)}, {put: started('a', '2', 2)}], ready: ['a@2']},
-	{name: 'the start that was written later counts, whatever its clock said', steps: [{put: started('a', '9', 1)}, {put: started('a', '3', 2)}], ready: ['a@3']},
-	{name: 'late news of the earlier start changes nothing', steps: [{put: started('a', '2', 5)}, {put: started('a', '1', 4)}], ready: ['a@2']},
-	{name: 'nor where the later one has gone meanwhile', steps: [{put: started('a', '2', 5)}, {remove: 'a', revision: 6}, {put: started('a', '1', 4)}], ready: []},
-	{name: 'the end of a name ends the start that it has', steps: [{put: started('a', '1', 1)}, {put: started('a', '2', 2)}, {remove: 'a', revision: 3}], ready: []},
-	{name: 'an end older than the next start is passed over', steps: [{put: started('a', '1', 1)}, {put: started('a', '2', 4)}, {remove: 'a', revision: 3}], ready: ['a@2']},
-	{name: 'a start that vanished with the directory and is another when it is back', steps: [{put: started('a', '1', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {directory: 'back'}, {put: started('a', '2', 4)}, {wait: 60_000}], ready: ['a@2']},
-	{name: 'a list with the next start', steps: [{put: started('a', '1', 1)}, {replace: [started('a', '2', 4)], revision: 5}], ready: ['a@2']},
-	{name: 'an entry that cannot be read takes no work', steps: [{put: listed('a', 1)}, {put: listed('b', 2)}, {hide: 'a', revision: 3}], ready: ['b']},
-	{name: 'until it can be read again', steps: [{put: listed('a', 1)}, {hide: 'a', revision: 3}, {put: listed('a', 4)}], ready: ['a']},
-	{name: 'an old entry does not show it again', steps: [{put: listed('a', 1)}, {hide: 'a', revision: 3}, {put: listed('a', 2)}], ready: []},
-	{name: 'entries that cannot be read are no outage', steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), ...five.slice(1).map((id, index) => ({hide: id, revision: 10 + index})), {remove: 'a', revision: 20}], ready: []},
-	{name: 'an older entry does not bring it back', steps: [{put: listed('a', 2, 'leaving')}, {put: listed('a', 1)}], ready: []},
-	{name: 'an entry older than its end does not bring it back', steps: [{put: listed('a', 1)}, {remove: 'a', revision: 5}, {put: listed('a', 4)}], ready: []},
-	{name: 'an end older than the entry is passed over', steps: [{put: listed('a', 4)}, {remove: 'a', revision: 3}], ready: ['a']},
-	{name: 'an entry that goes while the directory answers is gone at once', steps: [{put: listed('a', 1)}, {put: listed('b', 2)}, {remove: 'a', revision: 3}], ready: ['b']},
-	{name: 'an entry that goes while the directory is away is kept', steps: [{put: listed('a', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {wait: 60_000}], ready: ['a']},
-	{
-		name: 'it is gone when the grace after the return is over',
+	{name: 'a listed endpoint accepts requests', steps: [{put: listed('a', 1)}], ready: ['a']},
+	{name: 'a leaving endpoint accepts none', steps: [{put: listed('a', 1)}, {put: listed('a', 2, 'leaving')}], ready: []},
+	{name: 'a new process of an instance replaces the earlier one', steps: [{put: entryOf('a', '1', 1)}, {put: entryOf('a', '2', 2)}], ready: ['a@2']},
+	{name: 'the process written later wins, regardless of its clock', steps: [{put: entryOf('a', '9', 1)}, {put: entryOf('a', '3', 2)}], ready: ['a@3']},
+	{name: 'a late update of the earlier process is ignored', steps: [{put: entryOf('a', '2', 5)}, {put: entryOf('a', '1', 4)}], ready: ['a@2']},
+	{name: 'a late update of the earlier process is ignored after the later one was removed', steps: [{put: entryOf('a', '2', 5)}, {remove: 'a', revision: 6}, {put: entryOf('a', '1', 4)}], ready: []},
+	{name: 'the removal of an instance removes its current process', steps: [{put: entryOf('a', '1', 1)}, {put: entryOf('a', '2', 2)}, {remove: 'a', revision: 3}], ready: []},
+	{name: 'a removal older than the new process is ignored', steps: [{put: entryOf('a', '1', 1)}, {put: entryOf('a', '2', 4)}, {remove: 'a', revision: 3}], ready: ['a@2']},
+	{name: 'an instance that vanished in an outage returns with a new process', steps: [{put: entryOf('a', '1', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {directory: 'back'}, {put: entryOf('a', '2', 4)}, {wait: 60_000}], ready: ['a@2']},
+	{name: 'a list with a new process replaces the earlier one', steps: [{put: entryOf('a', '1', 1)}, {replace: [entryOf('a', '2', 4)], revision: 5}], ready: ['a@2']},
+	{name: 'an endpoint whose entry cannot be read accepts no requests', steps: [{put: listed('a', 1)}, {put: listed('b', 2)}, {hide: 'a', revision: 3}], ready: ['b']},
+	{name: 'an endpoint accepts requests when its entry can be read again', steps: [{put: listed('a', 1)}, {hide: 'a', revision: 3}, {put: listed('a', 4)}], ready: ['a']},
+	{name: 'an older entry does not make an unreadable one available', steps: [{put: listed('a', 1)}, {hide: 'a', revision: 3}, {put: listed('a', 2)}], ready: []},
+	{name: 'unreadable entries do not count as an outage', steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), ...five.slice(1).map((id, index) => ({hide: id, revision: 10 + index})), {remove: 'a', revision: 20}], ready: []},
+	{name: 'an older entry does not restore a leaving endpoint', steps: [{put: listed('a', 2, 'leaving')}, {put: listed('a', 1)}], ready: []},
+	{name: 'an entry older than its removal does not restore it', steps: [{put: listed('a', 1)}, {remove: 'a', revision: 5}, {put: listed('a', 4)}], ready: []},
+	{name: 'a removal older than the entry is ignored', steps: [{put: listed('a', 4)}, {remove: 'a', revision: 3}], ready: ['a']},
+	{name: 'an entry removed while the directory is available is gone at once', steps: [{put: listed('a', 1)}, {put: listed('b', 2)}, {remove: 'a', revision: 3}], ready: ['b']},
+	{name: 'an entry removed during an outage is kept', steps: [{put: listed('a', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {wait: 60_000}], ready: ['a']},
+	{
+		name: 'a vanished entry is gone after the grace period that follows an outage',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {wait: 5000}, {directory: 'back'}, {remove: 'a', revision: 3}, {wait: returnGraceMs + 1}],
 		ready: [],
 	},
 	{
-		name: 'it is kept within the grace',
+		name: 'a vanished entry is kept within the grace period',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {wait: 5000}, {directory: 'back'}, {remove: 'a', revision: 3}, {wait: returnGraceMs - 100}],
 		ready: ['a'],
 	},
 	{
-		name: 'an entry that is written again within the grace stays',
+		name: 'an entry that is written again within the grace period stays',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {directory: 'back'}, {remove: 'a', revision: 3}, {wait: 1000}, {put: listed('a', 4)}, {wait: 60_000}],
 		ready: ['a'],
 	},
@@ -87,144 +87,144 @@
 		ready: [],
 	},
 	{
-		name: 'when most of a service vanishes at once an outage is supposed',
+		name: 'the loss of most of a service at once counts as an outage',
 		steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), ...five.map((id, index) => ({remove: id, revision: 10 + index}))],
 		ready: five,
 	},
 	{
-		name: 'and what stays away is gone before the bound on leaving endpoints is',
+		name: 'entries lost together are gone after their grace period',
 		steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), ...five.map((id, index) => ({remove: id, revision: 10 + index})), {wait: massGraceMs + 1}],
 		ready: [],
 	},
 	{
-		name: 'and one that was written again before the others went is not taken for lost with them',
+		name: 'an entry that was written again before the others were lost is not lost with them',
 		steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), {remove: 'a', revision: 10}, {put: listed('a', 11)}, ...five.slice(1).map((id, index) => ({remove: id, revision: 12 + index})), {wait: massGraceMs + 1}],
 		ready: ['a'],
 	},
 	{
-		name: 'the grace after a return ends for late departures too',
+		name: 'the grace period ends at the same time for entries removed late in it',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {directory: 'back'}, {wait: 2000}, {remove: 'a', revision: 3}, {wait: 201}],
 		ready: [],
 	},
 	{
-		name: 'a return that comes late begins the grace anew',
+		name: 'the grace period starts at the end of the outage',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {wait: 60_000}, {directory: 'back'}, {wait: returnGraceMs - 100}],
 		ready: ['a'],
 	},
 	{
-		name: 'a list lacks what has gone',
+		name: 'an entry that a list lacks is gone',
 		steps: [{put: listed('a', 1)}, {put: listed('b', 2)}, {replace: [listed('b', 2)], revision: 5}],
 		ready: ['b'],
 	},
 	{
-		name: 'what a host that reads the directory calls gone is gone, also where the directory turns this one away',
+		name: 'a witnessed list removes an entry during this host\'s outage',
 		steps: [{put: listed('a', 1)}, {put: listed('b', 2)}, {directory: 'lost'}, {replace: [listed('b', 2)], revision: 5, isWitnessed: true}, {wait: 60_000}],
 		ready: ['b'],
 	},
 	{
-		name: 'also when it was kept until then',
+		name: 'a witnessed list removes an entry that was kept',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {replace: [], revision: 5, isWitnessed: true}],
 		ready: [],
 	},
 	{
-		name: 'also where this host has just come back from a cut, and would give the entry its grace',
+		name: 'a witnessed list removes an entry within the grace period after this host\'s outage',
 		steps: [{put: listed('a', 1)}, {put: listed('b', 2)}, {directory: 'lost'}, {wait: 8000}, {directory: 'back'}, {replace: [listed('b', 2)], revision: 5, isWitnessed: true}],
 		ready: ['b'],
 	},
 	{
-		name: 'what vanished while this host could not read is gone soon after it has left that to others',
+		name: 'an entry that vanished in an outage is gone soon after other hosts took over reading',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {replace: [], revision: 5}, {wait: 3000}, {directory: 'leftToOthers'}, {wait: 250}],
 		ready: [],
 	},
 	{
-		name: 'and what goes from then on is gone at once',
+		name: 'an entry removed after other hosts took over reading is gone at once',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {wait: 3000}, {directory: 'leftToOthers'}, {remove: 'a', revision: 5}],
 		ready: [],
 	},
 	{
-		name: 'an entry that its teller keeps for a grace is kept as long here',
+		name: 'an entry that the sender keeps is kept for the time left',
 		steps: [{put: listed('a', 1)}, {
 			replace: [listed('a', 1)], revision: 5, isWitnessed: true, kept: [{id: 'a', leftMs: 1500}],
 		}, {wait: 1400}],
 		ready: ['a'],
 	},
 	{
-		name: 'and no longer, though its end is not told again',
+		name: 'an entry that the sender keeps is gone after the time left',
 		steps: [{put: listed('a', 1)}, {
 			replace: [listed('a', 1)], revision: 5, isWitnessed: true, kept: [{id: 'a', leftMs: 1500}],
 		}, {wait: 1501}],
 		ready: [],
 	},
 	{
-		name: 'unless it is written again meanwhile',
+		name: 'an entry that the sender keeps stays if it is written again',
 		steps: [{put: listed('a', 1)}, {
 			replace: [listed('a', 1)], revision: 5, isWitnessed: true, kept: [{id: 'a', leftMs: 1500}],
 		}, {put: listed('a', 6)}, {wait: 60_000}],
 		ready: ['a'],
 	},
 	{
-		name: 'a host that cannot read it either is not believed',
+		name: 'a list that is not witnessed removes no entry during an outage',
 		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {replace: [], revision: 5}],
 		ready: ['a'],
 	},
 	{
-		name: 'in a later history a lower revision counts',
-		steps: [{put: within(1, listed('a', 50))}, {restored: {epoch: 2, revision: 10}}, {put: within(2, listed('a', 12, 'leaving'))}],
+		name: 'a lower revision in a later epoch wins',
+		steps: [{put: inEpoch(1, listed('a', 50))}, {restored: {epoch: 2, revision: 10}}, {put: inEpoch(2, listed('a', 12, 'leaving'))}],
 		ready: [],
 	},
 	{
-		name: 'news of the earlier history changes nothing there',
-		steps: [{put: within(1, listed('a', 50))}, {restored: {epoch: 2, revision: 10}}, {put: within(2, listed('a', 12, 'leaving'))}, {put: within(1, listed('a', 60))}],
+		name: 'an update from an earlier epoch is ignored',
+		steps: [{put: inEpoch(1, listed('a', 50))}, {restored: {epoch: 2, revision: 10}}, {put: inEpoch(2, listed('a', 12, 'leaving'))}, {put: inEpoch(1, listed('a', 60))}],
 		ready: [],
 	},
 	{
-		name: 'nor do they take away what it has',
-		steps: [{put: within(2, listed('a', 5))}, {remove: 'a', epoch: 1, revision: 60}, {replace: [], epoch: 1, revision: 70}],
+		name: 'a removal or list from an earlier epoch is ignored',
+		steps: [{put: inEpoch(2, listed('a', 5))}, {remove: 'a', epoch: 1, revision: 60}, {replace: [], epoch: 1, revision: 70}],
 		ready: ['a'],
 	},
 	{
-		name: 'a copy that lists what was leaving does not bring it back',
-		steps: [{put: within(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('a', 7))], epoch: 2, revision: 10}],
+		name: 'a restored entry does not bring back a leaving endpoint',
+		steps: [{put: inEpoch(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}],
 		ready: [],
 	},
 	{
-		name: 'nor what had gone',
-		steps: [{put: within(1, listed('a', 50))}, {remove: 'a', epoch: 1, revision: 51}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('a', 7))], epoch: 2, revision: 10}],
+		name: 'a restored entry does not bring back a removed endpoint',
+		steps: [{put: inEpoch(1, listed('a', 50))}, {remove: 'a', epoch: 1, revision: 51}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}],
 		ready: [],
 	},
 	{
-		name: 'nor an earlier start, where a later one was known',
-		steps: [{put: within(1, started('a', '1', 7))}, {put: within(1, started('a', '2', 50))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, started('a', '1', 7))], epoch: 2, revision: 10}],
+		name: 'a restored entry does not replace a process by an earlier one',
+		steps: [{put: inEpoch(1, entryOf('a', '1', 7))}, {put: inEpoch(1, entryOf('a', '2', 50))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, entryOf('a', '1', 7))], epoch: 2, revision: 10}],
 		ready: ['a@2'],
 	},
 	{
-		name: 'which is gone when its grace is over and it has not written again',
-		steps: [{put: within(1, started('a', '1', 7))}, {put: within(1, started('a', '2', 50))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, started('a', '1', 7))], epoch: 2, revision: 10}, {wait: returnGraceMs + 1}],
+		name: 'a process whose instance has a stale restored entry is gone after the grace period',
+		steps: [{put: inEpoch(1, entryOf('a', '1', 7))}, {put: inEpoch(1, entryOf('a', '2', 50))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, entryOf('a', '1', 7))], epoch: 2, revision: 10}, {wait: returnGraceMs + 1}],
 		ready: [],
 	},
 	{
-		name: 'what writes its entry anew is believed',
-		steps: [{put: within(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('a', 7))], epoch: 2, revision: 10}, {put: within(2, listed('a', 11))}],
+		name: 'an entry written after the restore counts',
+		steps: [{put: inEpoch(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}, {put: inEpoch(2, listed('a', 11))}],
 		ready: ['a'],
 	},
 	{
-		name: 'what nobody has contradicted for long enough, too',
-		steps: [{put: within(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('a', 7))], epoch: 2, revision: 10}, {wait: contradictionMs + 1}],
+		name: 'a restored entry counts when the departure has expired',
+		steps: [{put: inEpoch(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}, {wait: contradictionMs + 1}],
 		ready: ['a'],
 	},
 	{
-		name: 'also where it was written before this host first saw the new history, above the revision of its leaving',
-		steps: [{put: within(1, listed('a', 3))}, {remove: 'a', epoch: 1, revision: 8}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('a', 9))], epoch: 2, revision: 10}],
+		name: 'an entry above the revision of the departure counts, though written before this host saw the new epoch',
+		steps: [{put: inEpoch(1, listed('a', 3))}, {remove: 'a', epoch: 1, revision: 8}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 9))], epoch: 2, revision: 10}],
 		ready: ['a'],
 	},
 	{
-		name: 'a second return begins that time anew',
-		steps: [{put: within(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('a', 7))], epoch: 2, revision: 10}, {wait: contradictionMs - 1}, {restored: {epoch: 3, revision: 9}}, {replace: [within(3, listed('a', 7))], epoch: 3, revision: 9}, {wait: 1000}],
+		name: 'a second restore extends the departure',
+		steps: [{put: inEpoch(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}, {wait: contradictionMs - 1}, {restored: {epoch: 3, revision: 9}}, {replace: [inEpoch(3, listed('a', 7))], epoch: 3, revision: 9}, {wait: 1000}],
 		ready: [],
 	},
 	{
-		name: 'what one host knows to have left counts at a host that has just started',
-		steps: [{put: within(2, listed('a', 7))}, {put: within(2, listed('b', 8))}, {
+		name: 'a departure received from another host overrides an entry',
+		steps: [{put: inEpoch(2, listed('a', 7))}, {put: inEpoch(2, listed('b', 8))}, {
 			departures: [{
 				id: 'a', epoch: 2, revision: 10, leftMs: 5000,
 			}],
@@ -232,17 +232,17 @@
 		ready: ['b'],
 	},
 	{
-		name: 'also where it is told before the list',
+		name: 'a departure received before the list overrides an entry',
 		steps: [{
 			departures: [{
 				id: 'a', epoch: 2, revision: 10, leftMs: 5000,
 			}],
-		}, {put: within(2, listed('a', 7))}, {put: within(2, listed('b', 8))}],
+		}, {put: inEpoch(2, listed('a', 7))}, {put: inEpoch(2, listed('b', 8))}],
 		ready: ['b'],
 	},
 	{
-		name: 'who saw less of the history knows better what was written anew',
-		steps: [{put: within(2, listed('a', 9))}, {
+		name: 'of two departures in one epoch the one with the lower position counts',
+		steps: [{put: inEpoch(2, listed('a', 9))}, {
 			departures: [{
 				id: 'a', epoch: 2, revision: 10, leftMs: 5000,
 			}],
@@ -254,18 +254,18 @@
 		ready: ['a'],
 	},
 	{
-		name: 'an entry that the copy lacks is kept for a grace, since it is written again',
-		steps: [{put: within(1, listed('a', 50))}, {put: within(1, listed('b', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('b', 5))], epoch: 2, revision: 10}, {wait: returnGraceMs - 100}],
+		name: 'an entry that the restored directory lacks is kept for the grace period',
+		steps: [{put: inEpoch(1, listed('a', 50))}, {put: inEpoch(1, listed('b', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('b', 5))], epoch: 2, revision: 10}, {wait: returnGraceMs - 100}],
 		ready: ['a', 'b'],
 	},
 	{
-		name: 'and no longer',
-		steps: [{put: within(1, listed('a', 50))}, {put: within(1, listed('b', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('b', 5))], epoch: 2, revision: 10}, {wait: returnGraceMs + 1}],
+		name: 'an entry that the restored directory lacks is gone after the grace period',
+		steps: [{put: inEpoch(1, listed('a', 50))}, {put: inEpoch(1, listed('b', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('b', 5))], epoch: 2, revision: 10}, {wait: returnGraceMs + 1}],
 		ready: ['b'],
 	},
 	{
-		name: 'an endpoint that came back before the return is not contradicted',
-		steps: [{put: within(1, listed('a', 3))}, {remove: 'a', epoch: 1, revision: 4}, {put: within(1, listed('a', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [within(2, listed('a', 5))], epoch: 2, revision: 10}],
+		name: 'an endpoint that came back before the restore has no departure',
+		steps: [{put: inEpoch(1, listed('a', 3))}, {remove: 'a', epoch: 1, revision: 4}, {put: inEpoch(1, listed('a', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 5))], epoch: 2, revision: 10}],
 		ready: ['a'],
 	},
 	{
@@ -275,7 +275,7 @@
 	},
 ];
 
-function play(steps: readonly Step[]): EndpointBook {
+function replay(steps: readonly Step[]): EndpointBook {
 	const book = new EndpointBook();
 	let now = 0;
 	for (const step of steps) {
@@ -311,17 +311,17 @@
 describe('endpoint book', () => {
 	for (const {name, steps, ready} of cases) {
 		it(name, () => {
-			expect(play(steps).listReady('model').map(({id}) => id).toSorted()).toEqual([...ready].toSorted());
+			expect(replay(steps).listReady('model').map(({id}) => id).toSorted()).toEqual([...ready].toSorted());
 		});
 	}
 
-	it('what is kept is told with the rest of its grace', () => {
-		const book = play([{put: listed('a', 1)}, {put: listed('b', 2)}, {directory: 'lost'}, {directory: 'back'}, {remove: 'a', revision: 5}]);
+	it('lists kept entries with the time left', () => {
+		const book = replay([{put: listed('a', 1)}, {put: listed('b', 2)}, {directory: 'lost'}, {directory: 'back'}, {remove: 'a', revision: 5}]);
 		expect(book.listKept(700)).toEqual([{id: 'a', leftMs: returnGraceMs - 700}]);
 	});
 
-	it('a change of part is told apart from other changes', () => {
-		const book = play([{put: listed('a', 1, 'ready', 'prefill')}]);
+	it('a change of stage is distinguished from other changes', () => {
+		const book = replay([{put: listed('a', 1, 'ready', 'prefill')}]);
 		expect(book.put(listed('a', 2, 'ready', 'decode'), 0).map(({change}) => change)).toEqual(['restaged']);
 	});
 });
--- a/packages/policy/src/relay/endpoint-book.ts
+++ b/packages/policy/src/relay/endpoint-book.ts
@@ -1,10 +1,10 @@
 /**
- * Endpoints as the directory publishes them. Safety: an older revision never
+ * The endpoints that the directory lists. Safety: an older revision never
  * replaces a newer one, and an endpoint that is leaving or gone gets no new
- * work. Entries that vanish while the directory is away may belong to
- * endpoints that still serve: they are kept until a grace after its return.
- * A directory that comes back from a copy has forgotten what left meanwhile:
- * what is known to have left stays so until its entry is written anew.
+ * requests. Entries that vanish during a directory outage may belong to live
+ * endpoints and are kept until a grace period after it. A directory that was
+ * restored from a backup lacks later departures: an endpoint that is known to
+ * have left counts as gone until its entry is written again.
  */
 import {isLater, type Position} from '@gatehead/schema/position';
 import {instanceOf, type Endpoint, type ListedEndpoint} from '@gatehead/schema/routing';
@@ -13,44 +13,44 @@
 import {type BookChange, type BookList, type KeptEntry} from './endpoint-change.js';
 import {JointLoss, massGraceMs, type Loss} from './joint-loss.js';
 
-/** How long after the directory's return a vanished entry may still come back, in milliseconds: the directory's own bound, and a heartbeat's jitter. */
+/** Time after a directory outage in which a vanished entry may reappear, in milliseconds: the directory's own bound plus the jitter of a heartbeat. */
 export const returnGraceMs = 2200;
-/** Ends remembered: those of some days, at 198 hosts and endpoints that come and go in one. */
-const mostTombstones = 2000;
+/** Largest number of tombstones; the oldest is evicted. */
+const maxTombstones = 2000;
 
 type Entry = {
 	readonly position: Position;
 	readonly endpoint: Endpoint;
-	/** Until when it may still serve although it has vanished; undefined: it is listed. While the directory is away the time does not run. */
+	/** End of the grace period of a vanished entry; undefined: it is listed. Ignored during an outage of the directory. */
 	keptUntil: number | undefined;
 };
 
-/** All endpoints now known. */
+/** All known endpoints. */
 export class EndpointBook {
-	/** By the name that an endpoint's starts share: of these the directory knows one at a time. */
+	/** By instance, the name that successive processes of an endpoint share. The directory has one entry per instance. */
 	readonly #entries = new Map<string, Entry>();
-	/** Names of the starts that are known. */
+	/** Instances by endpoint id; each process has its own id. */
 	readonly #instances = new Map<string, string>();
-	/** Where in the directory's history entries went, by name, so that late news does not bring them back. */
-	readonly #tombstones = new RecentMap<string, Position>(mostTombstones);
-	/** Starts that have left, for a directory that has forgotten it. */
+	/** Positions at which entries were removed, by instance, so that late updates do not restore them. */
+	readonly #tombstones = new RecentMap<string, Position>(maxTombstones);
+	/** Processes that have left, in case the directory is restored from a backup. */
 	readonly #departures = new Departures();
-	/** Entries removed lately, for telling an outage from single departures. */
+	/** Recently removed entries, to distinguish an outage from single departures. */
 	readonly #losses = new JointLoss(returnGraceMs);
-	/** Whether an endpoint has announced itself that it drains, whatever the directory says. */
+	/** Whether an endpoint has announced itself that it drains, independently of the directory. */
 	readonly #isDraining: (id: string) => boolean;
-	#isAway = false;
-	#backAt = Number.NEGATIVE_INFINITY;
+	#isDirectoryAway = false;
+	#directoryBackAt = Number.NEGATIVE_INFINITY;
 
 	constructor(isDraining: (id: string) => boolean = () => false) {
 		this.#isDraining = isDraining;
 	}
 
-	/** Endpoints that take new work. */
+	/** Lists the endpoints of a service that accept new requests. */
 	listReady(service: string): Endpoint[] {
 		const ready: Endpoint[] = [];
 		for (const entry of this.#entries.values()) {
-			if (entry.endpoint.service === service && this.#takesWork(entry)) {
+			if (entry.endpoint.service === service && this.#isAvailable(entry)) {
 				ready.push(entry.endpoint);
 			}
 		}
@@ -58,40 +58,40 @@
 		return ready;
 	}
 
-	/** Whether an endpoint takes new work now. */
+	/** Whether an endpoint accepts new requests now. */
 	isReady(id: string): boolean {
 		const known = this.#find(id);
-		return known !== undefined && this.#takesWork(known);
+		return known !== undefined && this.#isAvailable(known);
 	}
 
-	/** Whether the directory lists an endpoint, or did a grace ago. */
+	/** Whether an endpoint is listed, or has vanished and is kept. */
 	isKnown(id: string): boolean {
 		return this.#find(id) !== undefined;
 	}
 
-	/** Which part an endpoint does; undefined where it is not known, or has none. */
+	/** The stage that an endpoint serves; undefined if it is not known or has none. */
 	stageOf(id: string): Endpoint['stage'] {
 		return this.#find(id)?.endpoint.stage;
 	}
 
-	/** Whether an endpoint is known to have started again since: what it held and knew is gone. */
+	/** Whether an endpoint has restarted since, and so lost its memory and state. */
 	isReplaced(endpoint: Endpoint): boolean {
 		const known = this.#entries.get(instanceOf(endpoint));
 		return known !== undefined && known.endpoint.id !== endpoint.id;
 	}
 
-	/** The start that is known under a name; none where there is none. */
+	/** Id of the known process of an instance; empty if there is none. */
 	idsOf(instance: string): string[] {
 		const known = this.#entries.get(instance);
 		return known === undefined ? [] : [known.endpoint.id];
 	}
 
-	/** All entries with their positions, to be told to other hosts. */
+	/** Lists all entries with their positions, for other hosts. */
 	list(): ListedEndpoint[] {
 		return [...this.#entries.values()].map(({position, endpoint}) => ({...position, endpoint}));
 	}
 
-	/** Entries that have vanished and are kept, and for how long: whoever is told of the list must not keep them for longer. */
+	/** Lists vanished entries that are kept, with the time left. A host that receives them must not keep them longer. */
 	listKept(now: number): KeptEntry[] {
 		const kept: KeptEntry[] = [];
 		for (const {endpoint: {id}, keptUntil} of this.#entries.values()) {
@@ -103,16 +103,16 @@
 		return kept;
 	}
 
-	/** Notes that the directory does not answer. */
+	/** Records that the directory is unavailable. */
 	directoryLost(): void {
-		this.#isAway = true;
+		this.#isDirectoryAway = true;
 	}
 
-	/** Notes that the directory answers again. */
+	/** Records that the directory is available again. */
 	directoryBack(now: number): void {
-		if (this.#isAway) {
-			this.#isAway = false;
-			this.#backAt = now;
+		if (this.#isDirectoryAway) {
+			this.#isDirectoryAway = false;
+			this.#directoryBackAt = now;
 			for (const entry of this.#entries.values()) {
 				if (entry.keptUntil !== undefined) {
 					entry.keptUntil = now + returnGraceMs;
@@ -121,9 +121,9 @@
 		}
 	}
 
-	/** Others read the directory from now on: what vanished while this host could not is theirs to judge, and it gets no grace of its own. */
+	/** Records that other hosts read the directory from now on. Entries that vanished during this host's outage lose their grace period, since those hosts decide on them. */
 	directoryLeftToOthers(now: number): void {
-		this.#isAway = false;
+		this.#isDirectoryAway = false;
 		for (const entry of this.#entries.values()) {
 			if (entry.keptUntil !== undefined) {
 				entry.keptUntil = Math.min(entry.keptUntil, now);
@@ -132,14 +132,13 @@
 	}
 
 	/**
-	 * Notes that the directory has come back from a copy, and that its new
-	 * history was first seen at `position`. Whatever stands there up to it may
-	 * be as old as the copy: starts that have left do not come back by it, and
-	 * entries that it lacks may have been written behind it, so that they get
-	 * the grace of an outage.
+	 * Records that the directory was restored from a backup and that the new
+	 * epoch was first seen at `position`. Entries up to there may be as old as
+	 * the backup: they do not bring back processes that have left. Missing
+	 * entries may be newer than the backup and get the grace period of an outage.
 	 */
 	directoryRestored(position: Position, now: number): void {
-		this.#backAt = now;
+		this.#directoryBackAt = now;
 		for (const entry of this.#entries.values()) {
 			if (entry.endpoint.state === 'leaving') {
 				this.#departures.add(entry.endpoint.id, entry.position.revision, now);
@@ -153,22 +152,22 @@
 		this.#departures.outlive(position, now);
 	}
 
-	/** Starts that have left although the directory lists them as ready: whoever reads the same copy must know it. */
+	/** Lists processes that have left although the restored directory lists them as ready, for hosts that read the same entries. */
 	listDepartures(now: number): Departure[] {
 		return this.#departures.list(now).filter(({id}) => this.#find(id)?.endpoint.state === 'ready');
 	}
 
-	/** Takes over which starts another host knows to have left. */
+	/** Merges the departures that another host knows; returns what changed. */
 	hearDepartures(departures: readonly Departure[], now: number): BookChange[] {
 		return departures.flatMap(departure => {
 			const known = this.#find(departure.id);
-			const wasReady = known !== undefined && this.#takesWork(known);
+			const wasReady = known !== undefined && this.#isAvailable(known);
 			this.#departures.hear(departure, now);
-			return wasReady && !this.#takesWork(known) ? [{endpoint: known.endpoint, change: 'outdated' as const}] : [];
+			return wasReady && !this.#isAvailable(known) ? [{endpoint: known.endpoint, change: 'outdated' as const}] : [];
 		});
 	}
 
-	/** Takes a written entry; returns what changed. Of two starts under one name the one written later counts, whatever the replicas' clocks say. */
+	/** Adds or updates an entry; returns what changed. Of two processes of one instance the one written later wins, regardless of endpoint clocks. */
 	put({endpoint, ...position}: ListedEndpoint, now: number): BookChange[] {
 		const instance = instanceOf(endpoint);
 		const known = this.#entries.get(instance);
@@ -179,7 +178,7 @@
 		}
 
 		if (known !== undefined && known.endpoint.id !== endpoint.id) {
-			return this.#replaceStart(known, {position, endpoint, keptUntil: undefined}, now);
+			return this.#replaceProcess(known, {position, endpoint, keptUntil: undefined}, now);
 		}
 
 		const isSame = known !== undefined && known.keptUntil === undefined && !isLater(position, known.position);
@@ -210,30 +209,30 @@
 	}
 
 	/**
-	 * Takes the news that an entry cannot be read. Somebody else may have
-	 * written it, so the endpoint gets nothing new; it has not left in order
-	 * either, so what runs there goes on, and its next readable entry finds
-	 * health, pauses and connections as they were.
+	 * Records that an entry cannot be read; returns what changed. The endpoint
+	 * gets no new requests, since its entry may come from another writer, but
+	 * running ones continue, and its health, pauses and connections are kept.
 	 */
 	hide(instance: string, position: Position, now: number): BookChange[] {
 		const known = this.#entries.get(instance);
 		return known === undefined ? [] : this.put({...position, endpoint: {...known.endpoint, isUnreadable: true}}, now);
 	}
 
-	/** Takes the news that the entry under a name went. */
+	/** Records that the entry of an instance was removed; returns what changed. */
 	remove(instance: string, position: Position, now: number): BookChange[] {
 		const known = this.#entries.get(instance);
 		if (known === undefined || isLater(known.position, position)) {
 			return [];
 		}
 
-		return this.#vanish(known, position, now);
+		return this.#markVanished(known, position, now);
 	}
 
 	/**
-	 * Takes a whole list as of a position, or what changed in it and the ids of
-	 * all: what these lack has gone. An own outage, or one that has just ended,
-	 * says nothing against a list that is witnessed.
+	 * Applies a list as of a position, in full or as changed entries with the ids
+	 * of all; entries that are not among the ids have vanished. An outage of this
+	 * host does not delay their removal if another host read the list while the
+	 * directory was available. Returns what changed.
 	 */
 	replace({listed, ids, position, isWitnessed = false, kept = []}: BookList, now: number): BookChange[] {
 		const changes: BookChange[] = [];
@@ -241,7 +240,7 @@
 			changes.push(...this.put(each, now));
 		}
 
-		changes.push(...this.#keep(kept, position, now));
+		changes.push(...this.#keepVanished(kept, position, now));
 
 		for (const known of this.#entries.values()) {
 			if (ids.has(known.endpoint.id) || isLater(known.position, position)) {
@@ -249,38 +248,38 @@
 			}
 
 			if (isWitnessed && this.#isInOutage(now)) {
-				changes.push(...this.#erase(known, position, now));
+				changes.push(...this.#removeEntry(known, position, now));
 			} else if (known.keptUntil === undefined) {
-				changes.push(...this.#vanish(known, position, now));
+				changes.push(...this.#markVanished(known, position, now));
 			}
 		}
 
 		return changes;
 	}
 
-	/** Drops an endpoint that is known to be gone, as when another one answers at its address. */
+	/** Removes an endpoint that is known to be gone, as when another one answers at its address; returns what changed. */
 	drop(id: string, now: number): BookChange[] {
 		const known = this.#find(id);
-		return known === undefined ? [] : this.#erase(known, known.position, now);
+		return known === undefined ? [] : this.#removeEntry(known, known.position, now);
 	}
 
-	/** Drops vanished entries whose grace is over, and believes again what nobody contradicts any more. */
+	/** Removes vanished entries whose grace period is over and departures that have expired; returns what changed. */
 	sweep(now: number): BookChange[] {
 		const changes: BookChange[] = this.#departures.sweep(now).flatMap(id => {
 			const known = this.#find(id);
-			return known !== undefined && this.#takesWork(known) ? [{endpoint: known.endpoint, change: 'changed' as const}] : [];
+			return known !== undefined && this.#isAvailable(known) ? [{endpoint: known.endpoint, change: 'changed' as const}] : [];
 		});
 		for (const known of this.#entries.values()) {
-			if (known.keptUntil !== undefined && !this.#isAway && now > known.keptUntil) {
-				changes.push(...this.#erase(known, known.position, now));
+			if (known.keptUntil !== undefined && !this.#isDirectoryAway && now > known.keptUntil) {
+				changes.push(...this.#removeEntry(known, known.position, now));
 			}
 		}
 
 		return changes;
 	}
 
-	/** What a teller keeps for its grace is kept here for as long, and no longer: the news of its end may have come to the teller before, and is not told again. */
-	#keep(kept: readonly KeptEntry[], position: Position, now: number): BookChange[] {
+	/** Keeps vanished entries no longer than their sender does, which may have received their removal before and does not repeat it. */
+	#keepVanished(kept: readonly KeptEntry[], position: Position, now: number): BookChange[] {
 		const changes: BookChange[] = [];
 		for (const {id, leftMs} of kept) {
 			const known = this.#find(id);
@@ -298,31 +297,31 @@
 		return changes;
 	}
 
-	/** Whether this host cannot read the directory, or could not until a grace ago. */
+	/** Whether the directory is unavailable to this host, or came back or was restored less than a grace period ago. */
 	#isInOutage(now: number): boolean {
-		return this.#isAway || now <= this.#backAt + returnGraceMs;
+		return this.#isDirectoryAway || now <= this.#directoryBackAt + returnGraceMs;
 	}
 
-	#vanish(known: Entry, position: Position, now: number): BookChange[] {
+	#markVanished(known: Entry, position: Position, now: number): BookChange[] {
 		const {endpoint} = known;
 		if (endpoint.state !== 'ready' || this.#isOutdated(endpoint, known.position)) {
-			return this.#erase(known, position, now);
+			return this.#removeEntry(known, position, now);
 		}
 
 		const isInOutage = this.#isInOutage(now);
-		const returnUntil = this.#isAway ? Number.POSITIVE_INFINITY : this.#backAt + returnGraceMs;
-		if (isInOutage || this.#isVanishing(endpoint.service)) {
+		const returnUntil = this.#isDirectoryAway ? Number.POSITIVE_INFINITY : this.#directoryBackAt + returnGraceMs;
+		if (isInOutage || this.#hasVanished(endpoint.service)) {
 			known.keptUntil ??= isInOutage ? returnUntil : now + massGraceMs;
 			return [{endpoint, change: 'vanished'}];
 		}
 
-		const changes = this.#erase(known, position, now);
-		const joint = this.#losses.add({at: now, position, endpoint}, () => this.listReady(endpoint.service).length);
-		return joint.length > 0 ? this.#takeBack(joint, now) : changes;
+		const changes = this.#removeEntry(known, position, now);
+		const jointLosses = this.#losses.add({at: now, position, endpoint}, () => this.listReady(endpoint.service).length);
+		return jointLosses.length > 0 ? this.#reinstate(jointLosses, now) : changes;
 	}
 
-	/** Whether others of a service have vanished in what was taken for an outage. */
-	#isVanishing(service: string): boolean {
+	/** Whether other entries of a service have vanished and are kept. */
+	#hasVanished(service: string): boolean {
 		for (const {endpoint, keptUntil} of this.#entries.values()) {
 			if (keptUntil !== undefined && endpoint.service === service) {
 				return true;
@@ -332,9 +331,9 @@
 		return false;
 	}
 
-	/** When most of a service vanishes at once, its directory was away and nobody told: the entries are taken back for a grace. */
-	#takeBack(losses: readonly Loss[], now: number): BookChange[] {
-		// Whose name has an entry again was no loss of this outage, or is over it
+	/** Reinstates entries for a grace period. When most of a service vanishes at once, the directory lost its entries in an outage that was not detected. */
+	#reinstate(losses: readonly Loss[], now: number): BookChange[] {
+		// An instance that has an entry again was not lost in this outage, or has recovered
 		const missing = losses.filter(({endpoint}) => !this.#entries.has(instanceOf(endpoint)));
 		return missing.map(({position, endpoint}) => {
 			this.#set({position, endpoint, keptUntil: now + massGraceMs});
@@ -353,8 +352,8 @@
 		this.#instances.set(entry.endpoint.id, instance);
 	}
 
-	/** Another start under a name takes the place of the known one, unless it is known to have left and only a copy brings it back. */
-	#replaceStart(known: Entry, next: Entry, now: number): BookChange[] {
+	/** Replaces the known process of an instance by another one, unless that has left and its entry is stale. */
+	#replaceProcess(known: Entry, next: Entry, now: number): BookChange[] {
 		const {endpoint} = next;
 		if (this.#isOutdated(endpoint, next.position)) {
 			return [];
@@ -364,20 +363,20 @@
 		this.#departures.forget(endpoint.id);
 		this.#instances.delete(known.endpoint.id);
 		this.#departures.add(known.endpoint.id, next.position.revision, now);
-		return [{endpoint: known.endpoint, change: 'gone'}, {endpoint, change: takesWork(endpoint) ? 'added' : 'leaving'}];
+		return [{endpoint: known.endpoint, change: 'gone'}, {endpoint, change: isReadyEntry(endpoint) ? 'added' : 'leaving'}];
 	}
 
-	/** Whether an entry's endpoint gets new work: it is listed as ready, has not announced its drain, and no departure covers the entry. */
-	#takesWork({endpoint, position}: Entry): boolean {
-		return takesWork(endpoint) && !this.#isDraining(endpoint.id) && !this.#departures.covers(endpoint.id, position);
+	/** Whether an entry's endpoint accepts new requests: it is ready, has not announced its drain, and no departure overrides the entry. */
+	#isAvailable({endpoint, position}: Entry): boolean {
+		return isReadyEntry(endpoint) && !this.#isDraining(endpoint.id) && !this.#departures.covers(endpoint.id, position);
 	}
 
-	/** Whether an entry that says "ready" is a copy's, and its endpoint has left. */
+	/** Whether an entry is stale: it says `ready`, but the endpoint has left. */
 	#isOutdated({state, id}: Endpoint, position: Position): boolean {
 		return state === 'ready' && this.#departures.covers(id, position);
 	}
 
-	#erase({endpoint}: Entry, position: Position, now: number): BookChange[] {
+	#removeEntry({endpoint}: Entry, position: Position, now: number): BookChange[] {
 		const instance = instanceOf(endpoint);
 		this.#entries.delete(instance);
 		this.#instances.delete(endpoint.id);
@@ -387,7 +386,7 @@
 	}
 }
 
-/** Whether an endpoint gets new work. */
-function takesWork({state, isUnreadable}: Endpoint): boolean {
+/** Whether an endpoint's entry allows new requests. */
+function isReadyEntry({state, isUnreadable}: Endpoint): boolean {
 	return state === 'ready' && !isUnreadable;
 }
