--- a/packages/policy/src/relay/admission-queue.ts
+++ b/packages/policy/src/relay/admission-queue.ts
@@ -37,15 +37,15 @@
 };
 
 /** A request to reject, and the reason. */
-export type Hopeless<Each extends Waiter> = {
-	readonly waiter: Each;
+export type Rejection<Item extends Waiter> = {
+	readonly waiter: Item;
 	readonly detail: string;
 };
 
 /** Load at the other hosts and the endpoints' capacity. */
-export type Outlook = {
+export type LoadEstimate = {
 	/** Requests queued at other hosts that can still be in time. */
-	readonly elsewhere: number;
+	readonly remoteWaiting: number;
 	/** Slots released per second, for all hosts together. */
 	readonly releasesPerS: number;
 	/** Time from admission to the first event, in milliseconds. */
@@ -53,27 +53,27 @@
 };
 
 /** The queue of one service at one host. */
-export class AdmissionQueue<Each extends Waiter> {
-	readonly #waiters = new Set<Each>();
+export class AdmissionQueue<Item extends Waiter> {
+	readonly #waiters = new Set<Item>();
 
 	get size(): number {
 		return this.#waiters.size;
 	}
 
-	add(waiter: Each): void {
+	add(waiter: Item): void {
 		this.#waiters.add(waiter);
 	}
 
-	remove(waiter: Each): void {
+	remove(waiter: Item): void {
 		this.#waiters.delete(waiter);
 	}
 
-	has(waiter: Each): boolean {
+	has(waiter: Item): boolean {
 		return this.#waiters.has(waiter);
 	}
 
 	/** Lists the queued requests in service order. */
-	order(now: number, startMs: number): Each[] {
+	order(now: number, startMs: number): Item[] {
 		return [...this.#waiters].toSorted((left, right) => rankOf(left, now, startMs) - rankOf(right, now, startMs) || comparePriorities(left, right) || left.arrivedAt - right.arrivedAt);
 	}
 
@@ -88,29 +88,29 @@
 	}
 
 	/** Whether a retried request lets timely requests of other hosts go first. */
-	doesYield(waiter: Each, now: number, {elsewhere}: Outlook): boolean {
-		return elsewhere > 0 && waiter.stage === 'returned' && now - waiter.since < maxYieldTargets * waiter.targetMs;
+	shouldYield(waiter: Item, now: number, {remoteWaiting}: LoadEstimate): boolean {
+		return remoteWaiting > 0 && waiter.stage === 'returned' && now - waiter.since < maxYieldTargets * waiter.targetMs;
 	}
 
 	/** Lists the requests to reject now: expired ones, and first attempts that are expected to miss their target. */
-	findHopeless(now: number, outlook: Outlook): Array<Hopeless<Each>> {
-		const hopeless: Array<Hopeless<Each>> = [];
+	findRejections(now: number, estimate: LoadEstimate): Array<Rejection<Item>> {
+		const rejections: Array<Rejection<Item>> = [];
 		let ahead = 0;
-		for (const waiter of this.order(now, outlook.startMs)) {
-			const detail = describeExpiry(waiter, now) ?? describeDelay(waiter, ahead, now, outlook);
+		for (const waiter of this.order(now, estimate.startMs)) {
+			const detail = describeExpiry(waiter, now) ?? describeDelay(waiter, ahead, now, estimate);
 			if (detail === undefined) {
 				ahead += 1;
 			} else {
-				hopeless.push({waiter, detail});
+				rejections.push({waiter, detail});
 			}
 		}
 
-		return hopeless;
+		return rejections;
 	}
 
 	/** Retry delay for a rejected caller, in milliseconds: the time to drain the queue within the bounds, jittered, and no later than its deadline allows. */
-	comeBackMs({deadlineAt}: Each, now: number, {elsewhere, releasesPerS}: Outlook, random: Random): number {
-		const drainMs = (this.size + elsewhere) * millisecondsPerSecond / releasesPerS;
+	retryDelayMs({deadlineAt}: Item, now: number, {remoteWaiting, releasesPerS}: LoadEstimate, random: Random): number {
+		const drainMs = (this.size + remoteWaiting) * millisecondsPerSecond / releasesPerS;
 		return retryAfter(Math.min(maxRetryMs, minRetryMs + drainMs), deadlineAt - now, random);
 	}
 }
@@ -122,13 +122,13 @@
 }
 
 /** Describes the load under which a first attempt is expected to miss its target; undefined if it can be in time. */
-function describeDelay(waiter: Waiter, ahead: number, now: number, {elsewhere, releasesPerS, startMs}: Outlook): string | undefined {
-	const expectedMs = (ahead + 1 + (remoteAheadShare * elsewhere)) * millisecondsPerSecond / releasesPerS;
+function describeDelay(waiter: Waiter, ahead: number, now: number, {remoteWaiting, releasesPerS, startMs}: LoadEstimate): string | undefined {
+	const expectedMs = (ahead + 1 + (remoteAheadShare * remoteWaiting)) * millisecondsPerSecond / releasesPerS;
 	if (waiter.stage !== 'first' || expectedWaitShare * expectedMs <= slackMs(waiter, now, startMs)) {
 		return undefined;
 	}
 
-	return `${ahead} ahead, ${elsewhere} elsewhere, ${releasesPerS.toFixed(1)} places a second, first event ${Math.round(startMs)} ms after`;
+	return `${ahead} ahead, ${remoteWaiting} elsewhere, ${releasesPerS.toFixed(1)} places a second, first event ${Math.round(startMs)} ms after`;
 }
 
 function comparePriorities({priorities: left}: Waiter, {priorities: right}: Waiter): number {
--- a/packages/policy/src/relay/crash-suspects.test.ts
+++ b/packages/policy/src/relay/crash-suspects.test.ts
@@ -9,31 +9,31 @@
 } from './crash-suspects.js';
 
 const content = {digest: 'guilty', bytes: 100};
-const defaultRule: CrashRule = {leastEnds: 2, sameMomentMs: 200};
+const defaultRule: CrashRule = {crashThreshold: 2, coincidenceMs: 200};
 
 /** An event that a host observes or receives, at a time in milliseconds. */
 type Step = readonly [at: number, apply: (suspects: CrashSuspects, at: number) => void];
 
 function crash(end: string): Step[1] {
 	return (suspects, at) => {
-		suspects.noteEnd(content, end, at);
+		suspects.recordCrash(content, end, at);
 	};
 }
 
 function refuted(end: string): Step[1] {
 	return suspects => {
-		suspects.refuteEnd(end);
+		suspects.refuteCrash(end);
 	};
 }
 
 function receive(report: Pick<CrashReport, 'ends' | 'refuted'>): Step[1] {
 	return (suspects, at) => {
-		suspects.hear({content: content.digest, bytes: content.bytes, ...report}, at);
+		suspects.merge({content: content.digest, bytes: content.bytes, ...report}, at);
 	};
 }
 
 function succeeded(suspects: CrashSuspects): void {
-	suspects.noteGood(content);
+	suspects.recordSuccess(content);
 }
 
 type Case = {
@@ -98,10 +98,10 @@
 	it('keeps a bounded number of contents, held ones before others, and indexes them by length', () => {
 		const suspects = new CrashSuspects();
 		const held = {digest: 'held', bytes: 7};
-		suspects.noteEnd(held, 'a', 0);
-		suspects.noteEnd(held, 'b', 1000);
+		suspects.recordCrash(held, 'a', 0);
+		suspects.recordCrash(held, 'b', 1000);
 		for (let index = 0; index < 5000; index += 1) {
-			suspects.noteEnd({digest: `content ${index}`, bytes: 100 + (index % 10)}, 'c', 2000);
+			suspects.recordCrash({digest: `content ${index}`, bytes: 100 + (index % 10)}, 'c', 2000);
 		}
 
 		expect([suspects.size, suspects.isClear(99), suspects.isClear(100)]).toEqual([512, true, false]);
@@ -120,7 +120,7 @@
 			const verdicts = [reports, shuffled].map(list => {
 				const suspects = new CrashSuspects();
 				for (const each of list) {
-					suspects.hear(each, 60_000);
+					suspects.merge(each, 60_000);
 				}
 
 				return suspects.judge(content, 60_000).kind;
@@ -244,7 +244,7 @@
 		const fresh = Array.from({length: this.#fleet.company}, () => this.#makeInnocent());
 		for (const digest of [...fresh, ...returning, ...(guilty === undefined ? [] : [guilty])]) {
 			this.#at(now + reportDelayMs, () => {
-				this.#suspects.noteEnd({digest, bytes: 100}, end, now);
+				this.#suspects.recordCrash({digest, bytes: 100}, end, now);
 			});
 		}
 
@@ -276,7 +276,7 @@
 			endpoint?.visitors.set(digest, at + startingMs);
 			this.#at(at + startingMs, () => {
 				if (endpoint?.visitors.delete(digest)) {
-					this.#suspects.noteGood({digest, bytes: 100});
+					this.#suspects.recordSuccess({digest, bytes: 100});
 				}
 			});
 		});
@@ -300,9 +300,9 @@
 describe('simulated fleets whose endpoints crash', () => {
 	for (const fleet of fleets) {
 		it(`${fleet.name}: each guilty content crashes at most three endpoints on average, and fewer than 1 % of the innocent ones are held`, context => {
-			for (const leastEnds of [1, 2, 3]) {
-				const {innocent, innocentHeld, guiltyCrashes} = runAll(fleet, {...defaultRule, leastEnds});
-				context.diagnostic(`threshold ${leastEnds}: ${innocentHeld} of ${innocent} innocent held, ${fleet.guilty === 0 ? 0 : guiltyCrashes / (seeds * fleet.guilty)} crashes per guilty one`);
+			for (const crashThreshold of [1, 2, 3]) {
+				const {innocent, innocentHeld, guiltyCrashes} = runAll(fleet, {...defaultRule, crashThreshold});
+				context.diagnostic(`threshold ${crashThreshold}: ${innocentHeld} of ${innocent} innocent held, ${fleet.guilty === 0 ? 0 : guiltyCrashes / (seeds * fleet.guilty)} crashes per guilty`);
 			}
 
 			const {innocent, innocentHeld, guiltyCrashes} = runAll(fleet, defaultRule);
--- a/packages/policy/src/relay/crash-suspects.ts
+++ b/packages/policy/src/relay/crash-suspects.ts
@@ -11,15 +11,15 @@
 /** How crashes are counted. Only tests replace the default. */
 export type CrashRule = {
 	/** Number of crashes from which a content is held. */
-	readonly leastEnds: number;
+	readonly crashThreshold: number;
 	/** Crashes within this time of each other count as one, in milliseconds. */
-	readonly sameMomentMs: number;
+	readonly coincidenceMs: number;
 };
 
 /** Number of crashes from which a content is held. At 1, most bystanders of a crash would be held; each further crash costs an endpoint for seconds, with the streams on it. */
-const leastEnds = 2;
+const crashThreshold = 2;
 /** Crashes within this time of each other count as one, in milliseconds. The loss of a rack or hall interrupts several runs of a frequent content. */
-const sameMomentMs = 200;
+const coincidenceMs = 200;
 /** Length of the first hold, in milliseconds; it doubles with each further crash. Short, since the content may be a bystander. */
 const minHoldMs = 60_000;
 /** Longest hold, in milliseconds. */
@@ -33,10 +33,10 @@
 /** Refuted crashes kept per content: more than crashes, since a refutation may arrive before its crash. */
 const maxRefuted = 32;
 /** Largest number of contents in one report. */
-export const mostReported = 32;
+export const maxReported = 32;
 
 /** Identifies a content. Comparing the length first avoids the digest for most requests. */
-export type ContentName = {
+export type ContentId = {
 	readonly digest: string;
 	readonly bytes: number;
 };
@@ -47,7 +47,7 @@
 		| {readonly kind: 'trial'}
 		| {readonly kind: 'held'; readonly leftMs: number};
 
-const defaultRule: CrashRule = {leastEnds, sameMomentMs};
+const defaultRule: CrashRule = {crashThreshold, coincidenceMs};
 
 type Suspect = {
 	readonly bytes: number;
@@ -76,13 +76,13 @@
 	}
 
 	/** Whether a content has at least one crash that counts. */
-	isSuspect({digest, bytes}: ContentName, now: number): boolean {
+	isSuspect({digest, bytes}: ContentId, now: number): boolean {
 		const suspect = this.isClear(bytes) ? undefined : this.#suspects.get(digest);
-		return suspect !== undefined && listCountedTimes(suspect, this.#rule.sameMomentMs, now).length > 0;
+		return suspect !== undefined && listCountedTimes(suspect, this.#rule.coincidenceMs, now).length > 0;
 	}
 
 	/** Records that an endpoint crashed while it ran a content; returns whether the crash was new. */
-	noteEnd({digest, bytes}: ContentName, end: string, at: number): boolean {
+	recordCrash({digest, bytes}: ContentId, end: string, at: number): boolean {
 		const suspect = this.#getOrAdd(digest, bytes, at);
 		const known = suspect.ends.get(end);
 		if (known !== undefined) {
@@ -97,13 +97,13 @@
 	}
 
 	/** Records that a run of a content succeeded, which refutes all its known crashes. Returns whether any of them was not refuted before. */
-	noteGood({digest, bytes}: ContentName): boolean {
+	recordSuccess({digest, bytes}: ContentId): boolean {
 		const suspect = this.isClear(bytes) ? undefined : this.#suspects.get(digest);
 		return suspect !== undefined && refute(suspect, suspect.ends.keys());
 	}
 
 	/** Refutes a crash for all contents, as when the endpoint turns out to be alive. Returns the contents for which that was new. */
-	refuteEnd(end: string): string[] {
+	refuteCrash(end: string): string[] {
 		const cleared: string[] = [];
 		for (const [digest, suspect] of this.#suspects) {
 			if (suspect.ends.has(end) && refute(suspect, [end])) {
@@ -115,10 +115,10 @@
 	}
 
 	/** Merges another host's report; returns the crashes that were new. */
-	hear({content, bytes, ends, refuted}: CrashReport, now: number): string[] {
+	merge({content, bytes, ends, refuted}: CrashReport, now: number): string[] {
 		const news: string[] = [];
 		for (const {end, ageMs} of ends) {
-			if (ageMs < retentionMs && this.noteEnd({digest: content, bytes}, end, now - ageMs)) {
+			if (ageMs < retentionMs && this.recordCrash({digest: content, bytes}, end, now - ageMs)) {
 				news.push(end);
 			}
 		}
@@ -132,7 +132,7 @@
 	}
 
 	/** Whether a request with this content may run. */
-	judge({digest, bytes}: ContentName, now: number): CrashVerdict {
+	judge({digest, bytes}: ContentId, now: number): CrashVerdict {
 		const suspect = this.isClear(bytes) ? undefined : this.#suspects.get(digest);
 		return suspect === undefined ? free : this.#judge(suspect, now);
 	}
@@ -154,7 +154,7 @@
 	listHeld(now: number): string[] {
 		const held: string[] = [];
 		for (const [digest, suspect] of [...this.#suspects].toReversed()) {
-			if (held.length < mostReported && this.#judge(suspect, now).kind !== 'free') {
+			if (held.length < maxReported && this.#judge(suspect, now).kind !== 'free') {
 				held.push(digest);
 			}
 		}
@@ -176,13 +176,13 @@
 	}
 
 	#judge(suspect: Suspect, now: number): CrashVerdict {
-		const counted = listCountedTimes(suspect, this.#rule.sameMomentMs, now);
+		const counted = listCountedTimes(suspect, this.#rule.coincidenceMs, now);
 		const latest = counted.at(-1);
-		if (latest === undefined || counted.length < this.#rule.leastEnds) {
+		if (latest === undefined || counted.length < this.#rule.crashThreshold) {
 			return free;
 		}
 
-		const holdMs = Math.min(maxHoldMs, minHoldMs * (2 ** (counted.length - this.#rule.leastEnds)));
+		const holdMs = Math.min(maxHoldMs, minHoldMs * (2 ** (counted.length - this.#rule.crashThreshold)));
 		const leftMs = latest + holdMs - now;
 		return leftMs > 0 ? {kind: 'held', leftMs} : {kind: 'trial'};
 	}
@@ -208,7 +208,7 @@
 	/** Content to evict: the oldest with too few crashes to be held, else the oldest. */
 	#findEvictable(): string {
 		for (const [digest, {ends, refuted}] of this.#suspects) {
-			if (ends.size - refuted.size < this.#rule.leastEnds) {
+			if (ends.size - refuted.size < this.#rule.crashThreshold) {
 				return digest;
 			}
 		}
--- a/packages/policy/src/relay/departures.ts
+++ b/packages/policy/src/relay/departures.ts
@@ -9,7 +9,7 @@
 import {RecentMap} from '../utils/recent-map.js';
 
 /** Time for which a departure overrides a restored entry, in milliseconds. Longer than a leaving endpoint takes to announce its departure again (2 s) and than the entry of a stopped one takes to expire (3.6 s). */
-export const contradictionMs = 10_000;
+export const overrideMs = 10_000;
 /** How long a departure is remembered in case of a restore, in milliseconds: longer than the age of a backup. */
 const retentionMs = 60_000;
 /** Largest number of departures remembered: more than a fleet of 1,600 endpoints that restarts within `retentionMs`. */
@@ -56,7 +56,7 @@
 	 * departure, in either epoch; an entry above the lower of both was written
 	 * after the restore.
 	 */
-	outlive(position: Position, now: number): void {
+	handleRestore(position: Position, now: number): void {
 		for (const [id, {position: {revision}}] of this.#overrides) {
 			if (!this.#departed.has(id)) {
 				this.add(id, revision, now);
@@ -65,13 +65,13 @@
 
 		for (const [id, {revision, at}] of this.#departed.entries()) {
 			if (now - at <= retentionMs) {
-				this.#overrides.set(id, {position: {...position, revision: Math.min(position.revision, revision)}, until: now + contradictionMs});
+				this.#overrides.set(id, {position: {...position, revision: Math.min(position.revision, revision)}, until: now + overrideMs});
 			}
 		}
 	}
 
 	/** Whether an entry at a position is a stale one of a process that has left. */
-	covers(id: string, position: Position): boolean {
+	overrides(id: string, position: Position): boolean {
 		// Called before every send, and empty unless the directory was restored lately
 		if (this.#overrides.size === 0) {
 			return false;
@@ -87,8 +87,8 @@
 	}
 
 	/** Merges another host's departure. Within one epoch the lower position counts: that host saw the restored directory earlier, with fewer new entries. */
-	hear({id, leftMs, ...position}: Departure, now: number): void {
-		const until = now + Math.min(leftMs, contradictionMs);
+	merge({id, leftMs, ...position}: Departure, now: number): void {
+		const until = now + Math.min(leftMs, overrideMs);
 		const known = this.#overrides.get(id);
 		const order = known === undefined ? 'later' : comparePositions(position, known.position);
 		if (known === undefined || (order === 'later' && position.epoch !== known.position.epoch)) {
--- a/packages/policy/src/relay/directory-readers.test.ts
+++ b/packages/policy/src/relay/directory-readers.test.ts
@@ -1,15 +1,15 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {
-	isDirectoryReader, isReaderSilent, isSpareReader, listConfirmers, standInAfterMs, viewReading, type PlacedHost,
+	isDirectoryReader, isReaderSilent, isRedundantReader, listConfirmers, failoverDelayMs, summarizeReading, type FleetHost,
 } from './directory-readers.js';
 
 /** Hosts assigned to halls in turn. */
-function makeFleet(hosts: number, halls: number): PlacedHost[] {
+function makeFleet(hosts: number, halls: number): FleetHost[] {
 	return Array.from({length: hosts}, (_, index) => ({host: `host-${index}`, hall: `hall-${index % halls}`}));
 }
 
-function listReaders(alive: readonly PlacedHost[]): PlacedHost[] {
+function listReaders(alive: readonly FleetHost[]): FleetHost[] {
 	return alive.filter(each => isDirectoryReader(each, alive));
 }
 
@@ -86,35 +86,35 @@
 	const away = {directory: 'away'} as const;
 	const answers = {directory: 'answers'} as const;
 	const fleet = makeFleet(90, 3);
-	const isReader = (each: PlacedHost) => isDirectoryReader(each, fleet);
+	const isReader = (each: FleetHost) => isDirectoryReader(each, fleet);
 
-	type ViewCase = {readonly name: string; readonly alive: readonly PlacedHost[]; readonly isDoubted: boolean; readonly answering: number};
+	type ViewCase = {readonly name: string; readonly alive: readonly FleetHost[]; readonly hasFailedReader: boolean; readonly answering: number};
 	const viewCases: readonly ViewCase[] = [
 		{
-			name: 'no announcement', alive: fleet, isDoubted: false, answering: 0,
+			name: 'no announcement', alive: fleet, hasFailedReader: false, answering: 0,
 		},
 		{
-			name: 'one host cannot read the directory', alive: [...fleet.slice(1), {...fleet[0] ?? {host: '', hall: ''}, ...away}], isDoubted: true, answering: 0,
+			name: 'one host cannot read the directory', alive: [...fleet.slice(1), {...fleet[0] ?? {host: '', hall: ''}, ...away}], hasFailedReader: true, answering: 0,
 		},
 		{
-			name: 'others could read it since', alive: fleet.map((each, index) => index < 4 ? {...each, ...(index === 0 ? away : answers)} : each), isDoubted: true, answering: 3,
+			name: 'others could read it since', alive: fleet.map((each, index) => index < 4 ? {...each, ...(index === 0 ? away : answers)} : each), hasFailedReader: true, answering: 3,
 		},
 		{
-			name: 'all hosts of a small fleet read, so there is no failover', alive: makeFleet(12, 3).map(each => ({...each, ...away})), isDoubted: false, answering: 0,
+			name: 'all hosts of a small fleet read, so there is no failover', alive: makeFleet(12, 3).map(each => ({...each, ...away})), hasFailedReader: false, answering: 0,
 		},
 	];
 	for (const {
-		name, alive, isDoubted, answering,
+		name, alive, hasFailedReader, answering,
 	} of viewCases) {
 		it(name, () => {
-			const view = viewReading(alive);
-			expect([view.isDoubted, view.answering.length]).toEqual([isDoubted, answering]);
+			const view = summarizeReading(alive);
+			expect([view.hasFailedReader, view.answering.length]).toEqual([hasFailedReader, answering]);
 		});
 	}
 
 	it('failover reaches all hosts within a second, in groups that double', () => {
 		const alive = fleet.map(each => isReader(each) ? {...each, ...away} : each);
-		const times = alive.filter(each => each.directory === undefined).map(each => standInAfterMs(each, alive)).toSorted((left, right) => left - right);
+		const times = alive.filter(each => each.directory === undefined).map(each => failoverDelayMs(each, alive)).toSorted((left, right) => left - right);
 		const groups = [...new Set(times)].map(time => times.filter(each => each === time).length);
 		expect(groups).toEqual([3, 3, 6, 12, 24, 39]);
 		expect((times.at(-1) ?? 0) < 1000).toEqual(true);
@@ -122,8 +122,8 @@
 
 	it('three of the hosts that can read go on', () => {
 		const alive = fleet.map((each, index) => index < 6 ? {...each, ...answers} : {...each, ...away});
-		const view = viewReading(alive);
-		expect(view.answering.filter(host => !isSpareReader(host, view)).length).toEqual(3);
+		const view = summarizeReading(alive);
+		expect(view.answering.filter(host => !isRedundantReader(host, view)).length).toEqual(3);
 	});
 
 	it('the configuration is confirmed by hosts that can read, never by those that cannot', () => {
--- a/packages/policy/src/relay/directory-readers.ts
+++ b/packages/policy/src/relay/directory-readers.ts
@@ -10,7 +10,7 @@
 import {rank} from '../core/rendezvous.js';
 
 /** Key of the rendezvous ranking. The first hosts of each hall read, so the first of the fleet is among them. */
-export const readerMatter = 'directory';
+export const readerRankKey = 'directory';
 /** Fleet size up to which every host reads the directory, which then bears the calls; a host that is cut off from its peers stays up to date. */
 const smallFleet = 12;
 /** Smallest number of readers in a larger fleet: two may fail together. */
@@ -22,7 +22,7 @@
 const failoverStepMs = 80;
 
 /** A host and its hall. */
-export type PlacedHost = {
+export type FleetHost = {
 	readonly host: string;
 	readonly hall: string;
 	/** What it announced: `away`: it cannot read the directory; `answers`: it could after another reader could not. */
@@ -30,20 +30,20 @@
 };
 
 /** Whether the live hosts can read the directory, as they announced it. */
-export type ReadingView = {
+export type ReadingSummary = {
 	/** A host announced that it cannot read the directory; other readers may have failed as well. */
-	readonly isDoubted: boolean;
+	readonly hasFailedReader: boolean;
 	/** Hosts that could read the directory since, in rank order. */
 	readonly answering: readonly string[];
 };
 
 /** Whether the fleet is so small that every host reads the directory. */
-export function isSmallFleet(alive: readonly PlacedHost[]): boolean {
+export function isSmallFleet(alive: readonly FleetHost[]): boolean {
 	return alive.length <= smallFleet;
 }
 
 /** Whether a host reads the directory. `alive` includes the host itself. */
-export function isDirectoryReader(self: PlacedHost, alive: readonly PlacedHost[]): boolean {
+export function isDirectoryReader(self: FleetHost, alive: readonly FleetHost[]): boolean {
 	if (isSmallFleet(alive)) {
 		return true;
 	}
@@ -53,39 +53,39 @@
 }
 
 /** Whether one of the silent hosts is a reader. Its neighbours then read the directory until it is heard again or replaced, so that readers that fail together leave no gap: by default it takes 3.4 s to replace them, while endpoints that left may get requests for 3 s only. */
-export function isReaderSilent(silent: ReadonlySet<string>, alive: readonly PlacedHost[]): boolean {
+export function isReaderSilent(silent: ReadonlySet<string>, alive: readonly FleetHost[]): boolean {
 	return silent.size > 0 && alive.some(each => silent.has(each.host) && isDirectoryReader(each, alive));
 }
 
 /** Summarizes what the live hosts announced; empty in a small fleet, where every host reads for itself. */
-export function viewReading(alive: readonly PlacedHost[]): ReadingView {
+export function summarizeReading(alive: readonly FleetHost[]): ReadingSummary {
 	const readers = isSmallFleet(alive) ? [] : alive;
 	return {
-		isDoubted: readers.some(({directory}) => directory === 'away'),
-		answering: rank(readerMatter, readers.filter(({directory}) => directory === 'answers').map(({host}) => host)),
+		hasFailedReader: readers.some(({directory}) => directory === 'away'),
+		answering: rank(readerRankKey, readers.filter(({directory}) => directory === 'answers').map(({host}) => host)),
 	};
 }
 
 /** Whether a host may stop reading, since enough hosts of a higher rank can read the directory. */
-export function isSpareReader(host: string, {answering}: ReadingView): boolean {
+export function isRedundantReader(host: string, {answering}: ReadingSummary): boolean {
 	return answering.indexOf(host) >= minReaders;
 }
 
 /** Delay after which a host starts to read while the readers cannot, in milliseconds. The first hosts by rank start first, and each step doubles their number, so that a small part of a large fleet that can read is found within a few steps. An unavailable directory costs one call per host. */
-export function standInAfterMs(self: PlacedHost, alive: readonly PlacedHost[]): number {
+export function failoverDelayMs(self: FleetHost, alive: readonly FleetHost[]): number {
 	const capable = alive.filter(({directory}) => directory !== 'away').map(({host}) => host);
-	const position = rank(readerMatter, capable).indexOf(self.host);
+	const position = rank(readerRankKey, capable).indexOf(self.host);
 	return failoverGraceMs + (failoverStepMs * Math.max(0, Math.ceil(Math.log2((position + 1) / minReaders))));
 }
 
 /** The first hosts of a hall by rank, so many that all halls together have `minReaders`. */
-function listFirst(hall: string, alive: readonly PlacedHost[], halls: number): string[] {
+function listFirst(hall: string, alive: readonly FleetHost[], halls: number): string[] {
 	const local = alive.filter(each => each.hall === hall).map(({host}) => host);
-	return rank(readerMatter, local).slice(0, Math.ceil(minReaders / halls));
+	return rank(readerRankKey, local).slice(0, Math.ceil(minReaders / halls));
 }
 
 /** Hosts to query for the freshness of the configuration, in order: the readers of each hall, starting with the own hall; while readers cannot read the directory, the hosts that can. Querying only these bounds the calls to the directory at any fleet size. */
-export function listConfirmers(self: PlacedHost, alive: readonly PlacedHost[]): string[] {
+export function listConfirmers(self: FleetHost, alive: readonly FleetHost[]): string[] {
 	const answering = alive.filter(({directory}) => directory === 'answers').map(({host}) => host);
 	if (answering.length > 0) {
 		return rank(self.host, answering).slice(0, minReaders);
--- a/packages/policy/src/relay/endpoint-book.test.ts
+++ b/packages/policy/src/relay/endpoint-book.test.ts
@@ -3,8 +3,8 @@
 import {type Position} from '@gatehead/schema/position';
 import {type Endpoint, type ListedEndpoint} from '@gatehead/schema/routing';
 import {expect} from 'earl';
-import {contradictionMs, type Departure} from './departures.js';
-import {EndpointBook, returnGraceMs} from './endpoint-book.js';
+import {overrideMs, type Departure} from './departures.js';
+import {EndpointBook, outageGraceMs} from './endpoint-book.js';
 import {type KeptEntry} from './endpoint-change.js';
 import {massGraceMs} from './joint-loss.js';
 
@@ -68,12 +68,12 @@
 	{name: 'an entry removed during an outage is kept', steps: [{put: listed('a', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {wait: 60_000}], ready: ['a']},
 	{
 		name: 'a vanished entry is gone after the grace period that follows an outage',
-		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {wait: 5000}, {directory: 'back'}, {remove: 'a', revision: 3}, {wait: returnGraceMs + 1}],
+		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {wait: 5000}, {directory: 'back'}, {remove: 'a', revision: 3}, {wait: outageGraceMs + 1}],
 		ready: [],
 	},
 	{
 		name: 'a vanished entry is kept within the grace period',
-		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {wait: 5000}, {directory: 'back'}, {remove: 'a', revision: 3}, {wait: returnGraceMs - 100}],
+		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {wait: 5000}, {directory: 'back'}, {remove: 'a', revision: 3}, {wait: outageGraceMs - 100}],
 		ready: ['a'],
 	},
 	{
@@ -108,7 +108,7 @@
 	},
 	{
 		name: 'the grace period starts at the end of the outage',
-		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {wait: 60_000}, {directory: 'back'}, {wait: returnGraceMs - 100}],
+		steps: [{put: listed('a', 1)}, {directory: 'lost'}, {remove: 'a', revision: 3}, {wait: 60_000}, {directory: 'back'}, {wait: outageGraceMs - 100}],
 		ready: ['a'],
 	},
 	{
@@ -199,7 +199,7 @@
 	},
 	{
 		name: 'a process whose instance has a stale restored entry is gone after the grace period',
-		steps: [{put: inEpoch(1, entryOf('a', '1', 7))}, {put: inEpoch(1, entryOf('a', '2', 50))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, entryOf('a', '1', 7))], epoch: 2, revision: 10}, {wait: returnGraceMs + 1}],
+		steps: [{put: inEpoch(1, entryOf('a', '1', 7))}, {put: inEpoch(1, entryOf('a', '2', 50))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, entryOf('a', '1', 7))], epoch: 2, revision: 10}, {wait: outageGraceMs + 1}],
 		ready: [],
 	},
 	{
@@ -209,7 +209,7 @@
 	},
 	{
 		name: 'a restored entry counts when the departure has expired',
-		steps: [{put: inEpoch(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}, {wait: contradictionMs + 1}],
+		steps: [{put: inEpoch(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}, {wait: overrideMs + 1}],
 		ready: ['a'],
 	},
 	{
@@ -219,7 +219,7 @@
 	},
 	{
 		name: 'a second restore extends the departure',
-		steps: [{put: inEpoch(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}, {wait: contradictionMs - 1}, {restored: {epoch: 3, revision: 9}}, {replace: [inEpoch(3, listed('a', 7))], epoch: 3, revision: 9}, {wait: 1000}],
+		steps: [{put: inEpoch(1, listed('a', 50, 'leaving'))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('a', 7))], epoch: 2, revision: 10}, {wait: overrideMs - 1}, {restored: {epoch: 3, revision: 9}}, {replace: [inEpoch(3, listed('a', 7))], epoch: 3, revision: 9}, {wait: 1000}],
 		ready: [],
 	},
 	{
@@ -255,12 +255,12 @@
 	},
 	{
 		name: 'an entry that the restored directory lacks is kept for the grace period',
-		steps: [{put: inEpoch(1, listed('a', 50))}, {put: inEpoch(1, listed('b', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('b', 5))], epoch: 2, revision: 10}, {wait: returnGraceMs - 100}],
+		steps: [{put: inEpoch(1, listed('a', 50))}, {put: inEpoch(1, listed('b', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('b', 5))], epoch: 2, revision: 10}, {wait: outageGraceMs - 100}],
 		ready: ['a', 'b'],
 	},
 	{
 		name: 'an entry that the restored directory lacks is gone after the grace period',
-		steps: [{put: inEpoch(1, listed('a', 50))}, {put: inEpoch(1, listed('b', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('b', 5))], epoch: 2, revision: 10}, {wait: returnGraceMs + 1}],
+		steps: [{put: inEpoch(1, listed('a', 50))}, {put: inEpoch(1, listed('b', 5))}, {restored: {epoch: 2, revision: 10}}, {replace: [inEpoch(2, listed('b', 5))], epoch: 2, revision: 10}, {wait: outageGraceMs + 1}],
 		ready: ['b'],
 	},
 	{
@@ -282,7 +282,7 @@
 		if ('put' in step) {
 			book.put(step.put, now);
 		} else if ('hide' in step) {
-			book.hide(step.hide, {epoch: step.epoch, revision: step.revision}, now);
+			book.markUnreadable(step.hide, {epoch: step.epoch, revision: step.revision}, now);
 		} else if ('remove' in step) {
 			book.remove(step.remove, {epoch: step.epoch, revision: step.revision}, now);
 		} else if ('replace' in step) {
@@ -292,14 +292,14 @@
 		} else if ('restored' in step) {
 			book.directoryRestored(step.restored, now);
 		} else if ('departures' in step) {
-			book.hearDepartures(step.departures, now);
+			book.mergeDepartures(step.departures, now);
 		} else if ('wait' in step) {
 			now += step.wait;
 			book.sweep(now);
 		} else if (step.directory === 'lost') {
 			book.directoryLost();
 		} else if (step.directory === 'leftToOthers') {
-			book.directoryLeftToOthers(now);
+			book.directoryDelegated(now);
 		} else {
 			book.directoryBack(now);
 		}
@@ -317,7 +317,7 @@
 
 	it('lists kept entries with the time left', () => {
 		const book = replay([{put: listed('a', 1)}, {put: listed('b', 2)}, {directory: 'lost'}, {directory: 'back'}, {remove: 'a', revision: 5}]);
-		expect(book.listKept(700)).toEqual([{id: 'a', leftMs: returnGraceMs - 700}]);
+		expect(book.listKept(700)).toEqual([{id: 'a', leftMs: outageGraceMs - 700}]);
 	});
 
 	it('a change of stage is distinguished from other changes', () => {
--- a/packages/policy/src/relay/endpoint-book.ts
+++ b/packages/policy/src/relay/endpoint-book.ts
@@ -10,11 +10,11 @@
 import {instanceOf, type Endpoint, type ListedEndpoint} from '@gatehead/schema/routing';
 import {RecentMap} from '../utils/recent-map.js';
 import {Departures, type Departure} from './departures.js';
-import {type BookChange, type BookList, type KeptEntry} from './endpoint-change.js';
+import {type EndpointChange, type EndpointList, type KeptEntry} from './endpoint-change.js';
 import {JointLoss, massGraceMs, type Loss} from './joint-loss.js';
 
 /** Time after a directory outage in which a vanished entry may reappear, in milliseconds: the directory's own bound plus the jitter of a heartbeat. */
-export const returnGraceMs = 2200;
+export const outageGraceMs = 2200;
 /** Largest number of tombstones; the oldest is evicted. */
 const maxTombstones = 2000;
 
@@ -36,7 +36,7 @@
 	/** Processes that have left, in case the directory is restored from a backup. */
 	readonly #departures = new Departures();
 	/** Recently removed entries, to distinguish an outage from single departures. */
-	readonly #losses = new JointLoss(returnGraceMs);
+	readonly #losses = new JointLoss(outageGraceMs);
 	/** Whether an endpoint has announced itself that it drains, independently of the directory. */
 	readonly #isDraining: (id: string) => boolean;
 	#isDirectoryAway = false;
@@ -96,7 +96,7 @@
 		const kept: KeptEntry[] = [];
 		for (const {endpoint: {id}, keptUntil} of this.#entries.values()) {
 			if (keptUntil !== undefined) {
-				kept.push({id, leftMs: Math.max(0, Math.min(returnGraceMs, keptUntil - now))});
+				kept.push({id, leftMs: Math.max(0, Math.min(outageGraceMs, keptUntil - now))});
 			}
 		}
 
@@ -115,14 +115,14 @@
 			this.#directoryBackAt = now;
 			for (const entry of this.#entries.values()) {
 				if (entry.keptUntil !== undefined) {
-					entry.keptUntil = now + returnGraceMs;
+					entry.keptUntil = now + outageGraceMs;
 				}
 			}
 		}
 	}
 
 	/** Records that other hosts read the directory from now on. Entries that vanished during this host's outage lose their grace period, since those hosts decide on them. */
-	directoryLeftToOthers(now: number): void {
+	directoryDelegated(now: number): void {
 		this.#isDirectoryAway = false;
 		for (const entry of this.#entries.values()) {
 			if (entry.keptUntil !== undefined) {
@@ -145,11 +145,11 @@
 			}
 
 			if (entry.keptUntil !== undefined) {
-				entry.keptUntil = now + returnGraceMs;
+				entry.keptUntil = now + outageGraceMs;
 			}
 		}
 
-		this.#departures.outlive(position, now);
+		this.#departures.handleRestore(position, now);
 	}
 
 	/** Lists processes that have left although the restored directory lists them as ready, for hosts that read the same entries. */
@@ -158,17 +158,17 @@
 	}
 
 	/** Merges the departures that another host knows; returns what changed. */
-	hearDepartures(departures: readonly Departure[], now: number): BookChange[] {
+	mergeDepartures(departures: readonly Departure[], now: number): EndpointChange[] {
 		return departures.flatMap(departure => {
 			const known = this.#find(departure.id);
 			const wasReady = known !== undefined && this.#isAvailable(known);
-			this.#departures.hear(departure, now);
+			this.#departures.merge(departure, now);
 			return wasReady && !this.#isAvailable(known) ? [{endpoint: known.endpoint, change: 'outdated' as const}] : [];
 		});
 	}
 
 	/** Adds or updates an entry; returns what changed. Of two processes of one instance the one written later wins, regardless of endpoint clocks. */
-	put({endpoint, ...position}: ListedEndpoint, now: number): BookChange[] {
+	put({endpoint, ...position}: ListedEndpoint, now: number): EndpointChange[] {
 		const instance = instanceOf(endpoint);
 		const known = this.#entries.get(instance);
 		const tombstone = this.#tombstones.get(instance);
@@ -213,13 +213,13 @@
 	 * gets no new requests, since its entry may come from another writer, but
 	 * running ones continue, and its health, pauses and connections are kept.
 	 */
-	hide(instance: string, position: Position, now: number): BookChange[] {
+	markUnreadable(instance: string, position: Position, now: number): EndpointChange[] {
 		const known = this.#entries.get(instance);
 		return known === undefined ? [] : this.put({...position, endpoint: {...known.endpoint, isUnreadable: true}}, now);
 	}
 
 	/** Records that the entry of an instance was removed; returns what changed. */
-	remove(instance: string, position: Position, now: number): BookChange[] {
+	remove(instance: string, position: Position, now: number): EndpointChange[] {
 		const known = this.#entries.get(instance);
 		if (known === undefined || isLater(known.position, position)) {
 			return [];
@@ -234,8 +234,8 @@
 	 * host does not delay their removal if another host read the list while the
 	 * directory was available. Returns what changed.
 	 */
-	replace({listed, ids, position, isWitnessed = false, kept = []}: BookList, now: number): BookChange[] {
-		const changes: BookChange[] = [];
+	replace({listed, ids, position, isWitnessed = false, kept = []}: EndpointList, now: number): EndpointChange[] {
+		const changes: EndpointChange[] = [];
 		for (const each of listed) {
 			changes.push(...this.put(each, now));
 		}
@@ -258,14 +258,14 @@
 	}
 
 	/** Removes an endpoint that is known to be gone, as when another one answers at its address; returns what changed. */
-	drop(id: string, now: number): BookChange[] {
+	drop(id: string, now: number): EndpointChange[] {
 		const known = this.#find(id);
 		return known === undefined ? [] : this.#removeEntry(known, known.position, now);
 	}
 
 	/** Removes vanished entries whose grace period is over and departures that have expired; returns what changed. */
-	sweep(now: number): BookChange[] {
-		const changes: BookChange[] = this.#departures.sweep(now).flatMap(id => {
+	sweep(now: number): EndpointChange[] {
+		const changes: EndpointChange[] = this.#departures.sweep(now).flatMap(id => {
 			const known = this.#find(id);
 			return known !== undefined && this.#isAvailable(known) ? [{endpoint: known.endpoint, change: 'changed' as const}] : [];
 		});
@@ -279,8 +279,8 @@
 	}
 
 	/** Keeps vanished entries no longer than their sender does, which may have received their removal before and does not repeat it. */
-	#keepVanished(kept: readonly KeptEntry[], position: Position, now: number): BookChange[] {
-		const changes: BookChange[] = [];
+	#keepVanished(kept: readonly KeptEntry[], position: Position, now: number): EndpointChange[] {
+		const changes: EndpointChange[] = [];
 		for (const {id, leftMs} of kept) {
 			const known = this.#find(id);
 			if (known === undefined || isLater(known.position, position)) {
@@ -299,17 +299,17 @@
 
 	/** Whether the directory is unavailable to this host, or came back or was restored less than a grace period ago. */
 	#isInOutage(now: number): boolean {
-		return this.#isDirectoryAway || now <= this.#directoryBackAt + returnGraceMs;
+		return this.#isDirectoryAway || now <= this.#directoryBackAt + outageGraceMs;
 	}
 
-	#markVanished(known: Entry, position: Position, now: number): BookChange[] {
+	#markVanished(known: Entry, position: Position, now: number): EndpointChange[] {
 		const {endpoint} = known;
 		if (endpoint.state !== 'ready' || this.#isOutdated(endpoint, known.position)) {
 			return this.#removeEntry(known, position, now);
 		}
 
 		const isInOutage = this.#isInOutage(now);
-		const returnUntil = this.#isDirectoryAway ? Number.POSITIVE_INFINITY : this.#directoryBackAt + returnGraceMs;
+		const returnUntil = this.#isDirectoryAway ? Number.POSITIVE_INFINITY : this.#directoryBackAt + outageGraceMs;
 		if (isInOutage || this.#hasVanished(endpoint.service)) {
 			known.keptUntil ??= isInOutage ? returnUntil : now + massGraceMs;
 			return [{endpoint, change: 'vanished'}];
@@ -332,7 +332,7 @@
 	}
 
 	/** Reinstates entries for a grace period. When most of a service vanishes at once, the directory lost its entries in an outage that was not detected. */
-	#reinstate(losses: readonly Loss[], now: number): BookChange[] {
+	#reinstate(losses: readonly Loss[], now: number): EndpointChange[] {
 		// An instance that has an entry again was not lost in this outage, or has recovered
 		const missing = losses.filter(({endpoint}) => !this.#entries.has(instanceOf(endpoint)));
 		return missing.map(({position, endpoint}) => {
@@ -353,7 +353,7 @@
 	}
 
 	/** Replaces the known process of an instance by another one, unless that has left and its entry is stale. */
-	#replaceProcess(known: Entry, next: Entry, now: number): BookChange[] {
+	#replaceProcess(known: Entry, next: Entry, now: number): EndpointChange[] {
 		const {endpoint} = next;
 		if (this.#isOutdated(endpoint, next.position)) {
 			return [];
@@ -368,15 +368,15 @@
 
 	/** Whether an entry's endpoint accepts new requests: it is ready, has not announced its drain, and no departure overrides the entry. */
 	#isAvailable({endpoint, position}: Entry): boolean {
-		return isReadyEntry(endpoint) && !this.#isDraining(endpoint.id) && !this.#departures.covers(endpoint.id, position);
+		return isReadyEntry(endpoint) && !this.#isDraining(endpoint.id) && !this.#departures.overrides(endpoint.id, position);
 	}
 
 	/** Whether an entry is stale: it says `ready`, but the endpoint has left. */
 	#isOutdated({state, id}: Endpoint, position: Position): boolean {
-		return state === 'ready' && this.#departures.covers(id, position);
+		return state === 'ready' && this.#departures.overrides(id, position);
 	}
 
-	#removeEntry({endpoint}: Entry, position: Position, now: number): BookChange[] {
+	#removeEntry({endpoint}: Entry, position: Position, now: number): EndpointChange[] {
 		const instance = instanceOf(endpoint);
 		this.#entries.delete(instance);
 		this.#instances.delete(endpoint.id);
--- a/packages/policy/src/relay/endpoint-change.ts
+++ b/packages/policy/src/relay/endpoint-change.ts
@@ -3,7 +3,7 @@
 import {type Endpoint, type ListedEndpoint} from '@gatehead/schema/routing';
 
 /** A change of one endpoint. */
-export type BookChange = {
+export type EndpointChange = {
 	readonly endpoint: Endpoint;
 	/** Position of the entry that caused the change; absent if the change follows from no entry of the endpoint. */
 	readonly position?: Position;
@@ -11,7 +11,7 @@
 };
 
 /** Entries of the directory as of a position. */
-export type BookList = {
+export type EndpointList = {
 	/** Entries in full: all, or those written recently. */
 	readonly listed: readonly ListedEndpoint[];
 	/** Ids of all entries. */
--- a/packages/policy/src/relay/endpoint-health.test.ts
+++ b/packages/policy/src/relay/endpoint-health.test.ts
@@ -59,8 +59,8 @@
 
 	it('a peer\'s pause is adopted once', () => {
 		const health = new EndpointHealth();
-		expect(health.hear({endpoint: 'a', leftMs: 3000}, 0)).toEqual(true);
-		expect(health.hear({endpoint: 'a', leftMs: 2900}, 100)).toEqual(false);
+		expect(health.mergePause({endpoint: 'a', leftMs: 3000}, 0)).toEqual(true);
+		expect(health.mergePause({endpoint: 'a', leftMs: 2900}, 100)).toEqual(false);
 		expect(health.isUsable('a', 100)).toEqual(false);
 		expect(health.isUsable('a', 3001)).toEqual(true);
 	});
--- a/packages/policy/src/relay/endpoint-health.ts
+++ b/packages/policy/src/relay/endpoint-health.ts
@@ -106,7 +106,7 @@
 	}
 
 	/** Merges another host's pause; returns whether it is much longer than the known one, and was adopted. */
-	hear({endpoint, leftMs}: Pause, now: number): boolean {
+	mergePause({endpoint, leftMs}: Pause, now: number): boolean {
 		const record = this.#getOrAdd(endpoint, now);
 		const until = now + Math.min(leftMs, maxPauseMs);
 		if (until <= record.pausedUntil + minPauseMs) {
--- a/packages/policy/src/relay/event-splitter.ts
+++ b/packages/policy/src/relay/event-splitter.ts
@@ -10,7 +10,7 @@
 const noBytes = new Uint8Array();
 
 /** Complete events, as sent, and their number. */
-export type WholeEvents = {
+export type CompleteEvents = {
 	readonly bytes: Uint8Array;
 	readonly count: number;
 };
@@ -47,7 +47,7 @@
 	#rest: Uint8Array = noBytes;
 
 	/** Appends a chunk and returns the events that it completes. */
-	push(chunk: Uint8Array): WholeEvents {
+	push(chunk: Uint8Array): CompleteEvents {
 		const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
 		let end = 0;
 		let count = 0;
--- a/packages/policy/src/relay/evidence.test.ts
+++ b/packages/policy/src/relay/evidence.test.ts
@@ -2,25 +2,25 @@
 import {expect} from 'earl';
 import fc from 'fast-check';
 import {listConfirmers, isDirectoryReader} from './directory-readers.js';
-import {agesFor} from './evidence.js';
+import {computeAges} from './evidence.js';
 
 describe('evidence', () => {
 	it('is renewed before it expires, and a peer\'s answer is usable for a while', () => {
 		fc.assert(fc.property(fc.integer({min: 500, max: 60_000}), revocationMs => {
-			const {mostMs, renewMs, givenMs, refreshMs} = agesFor({revocationMs, applyMs: revocationMs});
-			expect(refreshMs < givenMs && givenMs < renewMs && renewMs < mostMs && mostMs < revocationMs).toEqual(true);
+			const {maxMs, renewMs, peerAnswerMs, refreshMs} = computeAges({revocationMs, applyMs: revocationMs});
+			expect(refreshMs < peerAnswerMs && peerAnswerMs < renewMs && renewMs < maxMs && maxMs < revocationMs).toEqual(true);
 		}), {seed: 21});
 	});
 
 	it('a peer\'s immediate answer is fresh enough for keys and refusals, whatever the bounds', () => {
 		fc.assert(fc.property(fc.integer({min: 500, max: 60_000}), fc.option(fc.integer({min: 500, max: 60_000}), {nil: undefined}), (applyMs, revocationMs) => {
-			const {renewMs, refusalMs, givenMs} = agesFor({revocationMs, applyMs});
-			expect(givenMs < renewMs && givenMs < refusalMs && refusalMs < applyMs).toEqual(true);
+			const {renewMs, refusalMs, peerAnswerMs} = computeAges({revocationMs, applyMs});
+			expect(peerAnswerMs < renewMs && peerAnswerMs < refusalMs && refusalMs < applyMs).toEqual(true);
 		}), {seed: 22});
 	});
 
 	it('a bound shorter than the safety margin admits no key', () => {
-		expect(agesFor({revocationMs: 50, applyMs: 2000}).mostMs).toEqual(0);
+		expect(computeAges({revocationMs: 50, applyMs: 2000}).maxMs).toEqual(0);
 	});
 });
 
--- a/packages/policy/src/relay/evidence.ts
+++ b/packages/policy/src/relay/evidence.ts
@@ -25,28 +25,28 @@
 	readonly applyMs: number;
 };
 
-/** Ages of a confirmation that follow from the bounds, in milliseconds; `mostMs` and `renewMs` are infinite without a bound for keys. */
+/** Ages of a confirmation that follow from the bounds, in milliseconds; `maxMs` and `renewMs` are infinite without a bound for keys. */
 export type EvidenceAges = {
 	/** Beyond it no request is admitted with a key. */
-	readonly mostMs: number;
+	readonly maxMs: number;
 	/** From this age a host that checks keys queries again. */
 	readonly renewMs: number;
 	/** Beyond it no final refusal is sent, since a newer configuration may be in force. */
 	readonly refusalMs: number;
 	/** Up to this age a peer answers at once. */
-	readonly givenMs: number;
+	readonly peerAnswerMs: number;
 	/** From this age a peer that answers also queries the directory. */
 	readonly refreshMs: number;
 };
 
 /** Computes the ages for the bounds. */
-export function agesFor({revocationMs, applyMs}: EvidenceBounds): EvidenceAges {
+export function computeAges({revocationMs, applyMs}: EvidenceBounds): EvidenceAges {
 	const keyMs = revocationMs ?? Number.POSITIVE_INFINITY;
 	return {
-		mostMs: Math.max(0, keyMs - marginMs),
+		maxMs: Math.max(0, keyMs - marginMs),
 		renewMs: renewShare * keyMs,
 		refusalMs: renewShare * applyMs,
-		givenMs: peerAnswerShare * Math.min(keyMs, applyMs),
+		peerAnswerMs: peerAnswerShare * Math.min(keyMs, applyMs),
 		refreshMs: refreshShare * (revocationMs ?? applyMs),
 	};
 }
--- a/packages/policy/src/relay/final-refusals.test.ts
+++ b/packages/policy/src/relay/final-refusals.test.ts
@@ -3,7 +3,7 @@
 import {expect} from 'earl';
 import {isDecidedByConfiguration, isFinal, mayRefuse} from './final-refusals.js';
 
-const mostAgeMs = 1100;
+const maxAgeMs = 1100;
 const never = Number.NEGATIVE_INFINITY;
 
 type Case = {
@@ -35,7 +35,7 @@
 describe('final refusals', () => {
 	for (const {name, isBehind = false, mayRefuse: expected, ...evidence} of cases) {
 		it(`${expected ? 'allowed' : 'not allowed'}: ${name}`, () => {
-			expect(mayRefuse({...evidence, isBehind, mostAgeMs})).toEqual(expected);
+			expect(mayRefuse({...evidence, isBehind, maxAgeMs})).toEqual(expected);
 		});
 	}
 
--- a/packages/policy/src/relay/final-refusals.ts
+++ b/packages/policy/src/relay/final-refusals.ts
@@ -30,7 +30,7 @@
 	/** A newer configuration exists that this host cannot read. */
 	readonly isBehind: boolean;
 	/** Longest time from the confirmation to the arrival, in milliseconds. */
-	readonly mostAgeMs: number;
+	readonly maxAgeMs: number;
 };
 
 /** Whether a refusal with this code depends on the configuration. */
@@ -44,6 +44,6 @@
 }
 
 /** Whether a final refusal may be sent. */
-export function mayRefuse({arrivedAt, confirmedAt, isBehind, mostAgeMs}: RefusalEvidence): boolean {
-	return !isBehind && confirmedAt >= arrivedAt - mostAgeMs;
+export function mayRefuse({arrivedAt, confirmedAt, isBehind, maxAgeMs}: RefusalEvidence): boolean {
+	return !isBehind && confirmedAt >= arrivedAt - maxAgeMs;
 }
--- a/packages/policy/src/relay/restored-histories.test.ts
+++ b/packages/policy/src/relay/restored-histories.test.ts
@@ -11,7 +11,7 @@
 import {
 	array, assert, constantFrom, nat, oneof, property, record, type Arbitrary,
 } from 'fast-check';
-import {contradictionMs} from './departures.js';
+import {overrideMs} from './departures.js';
 import {EndpointBook} from './endpoint-book.js';
 
 const runs = 2000;
@@ -99,7 +99,7 @@
 		}
 
 		const known = this.position;
-		this.book.hearDepartures(teller.book.listDepartures(now), now);
+		this.book.mergeDepartures(teller.book.listDepartures(now), now);
 		if (known !== undefined && comparePositions(position, known) !== 'later') {
 			return;
 		}
@@ -234,7 +234,7 @@
 
 			play.do({kind: 'readA'});
 			play.do({kind: 'tellA'});
-			play.now += contradictionMs + 1;
+			play.now += overrideMs + 1;
 			play.sweep();
 			play.do({kind: 'readA'});
 			play.do({kind: 'readB'});
--- a/packages/relay/src/access/freshness.ts
+++ b/packages/relay/src/access/freshness.ts
@@ -7,7 +7,7 @@
  * by this host's own clock, so neither a delayed message nor a suspended
  * process makes it look more recent than it is.
  */
-import {agesFor, type EvidenceAges} from '@gatehead/policy/relay/evidence';
+import {computeAges, type EvidenceAges} from '@gatehead/policy/relay/evidence';
 import {mayRefuse} from '@gatehead/policy/relay/final-refusals';
 import {type RelayMessageOf} from '@gatehead/schema/relay-message';
 import {isOff} from '../core/experiment.js';
@@ -47,7 +47,7 @@
 	constructor(parts: FreshnessParts) {
 		const {context: {clock, settings: {access}}} = parts;
 		this.#parts = parts;
-		this.#ages = agesFor(access);
+		this.#ages = computeAges(access);
 		this.#requests = new PeerRequests(clock);
 	}
 
@@ -70,13 +70,13 @@
 	mayRefuse(arrivedAt: number): boolean {
 		const {routing} = this.#parts;
 		return mayRefuse({
-			arrivedAt, confirmedAt: routing.confirmedAt, isBehind: routing.isBehind, mostAgeMs: this.#ages.refusalMs,
+			arrivedAt, confirmedAt: routing.confirmedAt, isBehind: routing.isBehind, maxAgeMs: this.#ages.refusalMs,
 		});
 	}
 
 	/** Whether the key list is recent enough for a request that arrived at the given time. */
 	isConfirmed(arrivedAt: number): boolean {
-		return this.#parts.routing.confirmedAt >= arrivedAt - this.#ages.mostMs;
+		return this.#parts.routing.confirmedAt >= arrivedAt - this.#ages.maxMs;
 	}
 
 	/** Refreshes an aging confirmation in the background; waits for the refresh, up to `waitMs`, only if the confirmation has expired. */
@@ -211,7 +211,7 @@
 		const askedAt = clock.now();
 		const answer = await this.#requests.send(responseTimeoutMs, ask => {
 			send(host, {
-				kind: 'freshnessWanted', ask, routingVersion: routing.version, mostAgeMs: this.#ages.givenMs,
+				kind: 'freshnessWanted', ask, routingVersion: routing.version, mostAgeMs: this.#ages.peerAnswerMs,
 			});
 		});
 		metrics.add('evidenceAsked', {outcome: answer === undefined ? 'silent' : 'answered'});
--- a/packages/relay/src/core/directory-change-applier.ts
+++ b/packages/relay/src/core/directory-change-applier.ts
@@ -44,7 +44,7 @@
 		endpointUnreadable: ({change: {instance, revision, detail}, epoch}) => {
 			const {endpoints} = this.#parts;
 			this.#reportUnreadable('endpoint', detail, instance);
-			endpoints.note(endpoints.book.hide(instance, {epoch, revision}, this.#now), 'watch');
+			endpoints.note(endpoints.book.markUnreadable(instance, {epoch, revision}, this.#now), 'watch');
 		},
 		routingUnreadable: ({change: {detail}}) => {
 			this.#reportUnreadable('routing', detail);
--- a/packages/relay/src/core/directory-history.ts
+++ b/packages/relay/src/core/directory-history.ts
@@ -5,7 +5,7 @@
  * the current one, and a directory that was just restored does not confirm a
  * configuration that may have been replaced after the backup was made.
  */
-import {returnGraceMs} from '@gatehead/policy/relay/endpoint-book';
+import {outageGraceMs} from '@gatehead/policy/relay/endpoint-book';
 import {isLater, type Position} from '@gatehead/schema/position';
 
 /** How the epoch of a response relates to the current one: the same, a later one after a restore, or an earlier one. */
@@ -65,6 +65,6 @@
 
 	/** Whether a read of the directory proves that a configuration is the newest. After a restore, writes missing from the backup may still have to be repeated, for which operators have a grace period. */
 	canConfirm(now: number): boolean {
-		return this.#epochStart === undefined || this.#hasRoutingWrite || now - this.#epochStart.at > returnGraceMs;
+		return this.#epochStart === undefined || this.#hasRoutingWrite || now - this.#epochStart.at > outageGraceMs;
 	}
 }
--- a/packages/relay/src/core/directory-watch.ts
+++ b/packages/relay/src/core/directory-watch.ts
@@ -208,7 +208,7 @@
 			const {context: {clock, log}, endpoints} = this.#parts;
 			this.#isUnavailable = false;
 			this.#failures = 0;
-			endpoints.book.directoryLeftToOthers(clock.now());
+			endpoints.book.directoryDelegated(clock.now());
 			log('directoryBack', {revision: this.revision, detail: 'other hosts now read the directory'});
 		}
 	}
--- a/packages/relay/src/peer/fleet.ts
+++ b/packages/relay/src/peer/fleet.ts
@@ -6,7 +6,7 @@
 import {Membership, type Voice} from '@gatehead/host/peer/membership';
 import {PeerLinks} from '@gatehead/host/peer/peer-links';
 import {
-	isDirectoryReader, isReaderSilent, listConfirmers, readerMatter, viewReading,
+	isDirectoryReader, isReaderSilent, listConfirmers, readerRankKey, summarizeReading,
 } from '@gatehead/policy/relay/directory-readers';
 import {type Pause} from '@gatehead/policy/relay/endpoint-health';
 import {rankFirst} from '@gatehead/policy/core/rendezvous';
@@ -237,8 +237,8 @@
 	/** Whether this host is the first of the readers that reach the directory; it uses short watches to detect dead connections. */
 	isPrimaryReader(): boolean {
 		const alive = this.#listAlive();
-		const {answering} = viewReading(alive);
-		const first = answering[0] ?? rankFirst(readerMatter, alive.map(({host}) => host));
+		const {answering} = summarizeReading(alive);
+		const first = answering[0] ?? rankFirst(readerRankKey, alive.map(({host}) => host));
 		return first === this.#parts.context.self.host;
 	}
 
--- a/packages/relay/src/peer/watcher-failover.test.ts
+++ b/packages/relay/src/peer/watcher-failover.test.ts
@@ -1,7 +1,7 @@
 /** What a host announces about its reads of the directory, and when it takes over from other watchers, with a manual clock. */
 import {describe, it} from 'node:test';
 import {rank} from '@gatehead/policy/core/rendezvous';
-import {readerMatter} from '@gatehead/policy/relay/directory-readers';
+import {readerRankKey} from '@gatehead/policy/relay/directory-readers';
 import {ignore} from '@gatehead/policy/utils/ignore';
 import {ManualClock} from '@gatehead/policy/utils/manual-clock';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
@@ -9,7 +9,7 @@
 import {type ReadOutcome} from '../core/directory-watch.js';
 import {WatcherFailover} from './watcher-failover.js';
 
-const names = rank(readerMatter, Array.from({length: 20}, (_, index) => `host-${index}`));
+const names = rank(readerRankKey, Array.from({length: 20}, (_, index) => `host-${index}`));
 /** All hosts are in one hall, so the first three by rank are readers. */
 const readers = 3;
 
@@ -139,7 +139,7 @@
 				if (step === 'higherRankedJoin') {
 					alive.splice(0, alive.length, self, ...names.filter(host => host !== self));
 					const higher = Array.from({length: 4000}, (_, index) => `new-${index}`);
-					alive.push(...rank(readerMatter, [...higher, self]).slice(0, readers));
+					alive.push(...rank(readerRankKey, [...higher, self]).slice(0, readers));
 					failover.handleMembershipChange();
 				} else if ('firstAnnounces' in step) {
 					announced.set(names[0] ?? '', step.firstAnnounces);
--- a/packages/relay/src/peer/watcher-failover.ts
+++ b/packages/relay/src/peer/watcher-failover.ts
@@ -5,7 +5,7 @@
  * once, and more and more hosts take over until one succeeds.
  */
 import {
-	isDirectoryReader, isSmallFleet, isSpareReader, standInAfterMs, viewReading,
+	isDirectoryReader, isSmallFleet, isRedundantReader, failoverDelayMs, summarizeReading,
 } from '@gatehead/policy/relay/directory-readers';
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
@@ -46,10 +46,10 @@
 	handleMembershipChange(): void {
 		const {listAlive, self, watch} = this.#parts;
 		const alive = listAlive();
-		const view = viewReading(alive);
-		const isNewlyUnavailable = view.isDoubted && !this.#isWatcherUnavailable;
-		this.#isWatcherUnavailable = view.isDoubted;
-		if (!view.isDoubted) {
+		const view = summarizeReading(alive);
+		const isNewlyUnavailable = view.hasFailedReader && !this.#isWatcherUnavailable;
+		this.#isWatcherUnavailable = view.hasFailedReader;
+		if (!view.hasFailedReader) {
 			this.#stepDown();
 			return;
 		}
@@ -70,7 +70,7 @@
 			return;
 		}
 
-		if (this.#isTakingOver && isSpareReader(self().host, view)) {
+		if (this.#isTakingOver && isRedundantReader(self().host, view)) {
 			this.#stepDown();
 		}
 
@@ -106,7 +106,7 @@
 
 		if (outcome === 'answered') {
 			const {host} = this.#parts.self();
-			const {isDoubted} = viewReading(alive.filter(each => each.host !== host));
+			const {hasFailedReader: isDoubted} = summarizeReading(alive.filter(each => each.host !== host));
 			this.#announce(isDoubted ? 'answers' : undefined);
 		}
 	}
@@ -118,7 +118,7 @@
 		}
 
 		const backoffMs = Math.max(0, this.#triedAt + retryMs - clock.now());
-		this.#timer = clock.after(backoffMs + standInAfterMs(self(), alive), () => {
+		this.#timer = clock.after(backoffMs + failoverDelayMs(self(), alive), () => {
 			this.#timer = undefined;
 			this.#takeOver();
 		});
@@ -127,7 +127,7 @@
 	#takeOver(): void {
 		const {context: {clock, log}, listAlive, self, watch} = this.#parts;
 		const alive = listAlive();
-		const {isDoubted, answering} = viewReading(alive);
+		const {hasFailedReader: isDoubted, answering} = summarizeReading(alive);
 		if (!isDoubted || answering.length > 0 || isDirectoryReader(self(), alive)) {
 			return;
 		}
--- a/packages/relay/src/upstream/crash-guard.ts
+++ b/packages/relay/src/upstream/crash-guard.ts
@@ -4,7 +4,7 @@
  * before its first byte leaves. Efficiency: what is told of innocent requests
  * is refuted by the first sign of life of their endpoint, or of their own.
  */
-import {CrashSuspects, type ContentName} from '@gatehead/policy/relay/crash-suspects';
+import {CrashSuspects, type ContentId} from '@gatehead/policy/relay/crash-suspects';
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {type CrashReport} from '@gatehead/schema/relay-message';
 import {type Endpoint} from '@gatehead/schema/routing';
@@ -98,7 +98,7 @@
 	}
 
 	/** How long a request is held back, in milliseconds; undefined: it is not. */
-	holdMs(content: ContentName): number | undefined {
+	holdMs(content: ContentId): number | undefined {
 		if (this.#suspects.isClear(content.bytes) || isOff(this.#parts.context, 'crashGuard')) {
 			return undefined;
 		}
@@ -142,7 +142,7 @@
 	noteLoss({job, step, endpoint, inWork, sentAt, answeredAt, isCut, reason}: LostRun): void {
 		const {clock, log, metrics} = this.#parts.context;
 		const now = clock.now();
-		const content: ContentName = {digest: job.content.digest, bytes: job.content.bytes};
+		const content: ContentId = {digest: job.content.digest, bytes: job.content.bytes};
 		if (isCut) {
 			metrics.add('runsLost', {step, answer: answeredAt === undefined ? 'none' : 'begun'});
 			log('runLost', {
@@ -193,7 +193,7 @@
 		}
 
 		this.#ended.delete(end);
-		for (const digest of this.#suspects.refuteEnd(end)) {
+		for (const digest of this.#suspects.refuteCrash(end)) {
 			this.#news.add(digest);
 		}
 
@@ -202,7 +202,7 @@
 
 	/** A request has run to a good end: its content ends nothing. */
 	noteGood({content, isProbe}: Job): void {
-		if (this.#suspects.noteGood(content)) {
+		if (this.#suspects.recordSuccess(content)) {
 			this.#news.add(content.digest);
 			this.#noteHeld();
 		}
@@ -217,7 +217,7 @@
 		const {clock, metrics} = this.#parts.context;
 		const now = clock.now();
 		for (const report of reports) {
-			for (const end of this.#suspects.hear(report, now)) {
+			for (const end of this.#suspects.merge(report, now)) {
 				metrics.add('crashEnds', {source: 'peer'});
 				this.#noteEnded(end, now - (report.ends.find(each => each.end === end)?.ageMs ?? 0));
 			}
@@ -233,7 +233,7 @@
 		return this.#suspects.size === 0 ? [] : this.#report(this.#suspects.listHeld(this.#parts.context.clock.now()));
 	}
 
-	async #confirm(content: ContentName, endpoint: Endpoint, at: number): Promise<void> {
+	async #confirm(content: ContentId, endpoint: Endpoint, at: number): Promise<void> {
 		const hasEnded = await this.#parts.hasEnded(endpoint);
 		this.#checks.delete(content.digest);
 		if (hasEnded) {
@@ -241,9 +241,9 @@
 		}
 	}
 
-	#noteEnd(content: ContentName, end: string, at: number): void {
+	#noteEnd(content: ContentId, end: string, at: number): void {
 		this.#noteEnded(end, at);
-		if (this.#suspects.noteEnd(content, end, at)) {
+		if (this.#suspects.recordCrash(content, end, at)) {
 			this.#parts.context.metrics.add('crashEnds', {source: 'own'});
 			this.#news.add(content.digest);
 			this.#noteHeld();
--- a/packages/relay/src/upstream/crash-news.ts
+++ b/packages/relay/src/upstream/crash-news.ts
@@ -1,5 +1,5 @@
 /** Gathers what is new about contents that end endpoints, and tells it in a few messages. Efficiency only: heartbeats repeat what matters. */
-import {mostReported} from '@gatehead/policy/relay/crash-suspects';
+import {maxReported} from '@gatehead/policy/relay/crash-suspects';
 import {type Clock, type Timer} from '@gatehead/policy/utils/clock';
 import {type CrashReport} from '@gatehead/schema/relay-message';
 
@@ -43,7 +43,7 @@
 	}
 
 	#tell(): void {
-		const told = [...this.#digests].slice(0, mostReported);
+		const told = [...this.#digests].slice(0, maxReported);
 		for (const digest of told) {
 			this.#digests.delete(digest);
 		}
--- a/packages/relay/src/upstream/endpoints.ts
+++ b/packages/relay/src/upstream/endpoints.ts
@@ -4,7 +4,7 @@
  * Safety: an endpoint that is leaving gets nothing new from here.
  */
 import {EndpointBook} from '@gatehead/policy/relay/endpoint-book';
-import {type BookChange} from '@gatehead/policy/relay/endpoint-change';
+import {type EndpointChange} from '@gatehead/policy/relay/endpoint-change';
 import {
 	ownSource, SignalBook, type SignalChange, type Statement,
 } from '@gatehead/policy/relay/endpoint-signals';
@@ -37,7 +37,7 @@
 export const ownOrder = 'order';
 
 /** Changes by which an endpoint stops to take work for good. */
-const departing: ReadonlySet<BookChange['change']> = new Set(['leaving', 'outdated', 'gone']);
+const departing: ReadonlySet<EndpointChange['change']> = new Set(['leaving', 'outdated', 'gone']);
 
 type EndpointContext = BaseContext & Pick<RelayContext, 'settings'>;
 
@@ -65,7 +65,7 @@
 	readonly #context: EndpointContext;
 	readonly #listener: EndpointListener;
 	/** What follows from each change. */
-	readonly #follow: Readonly<Record<BookChange['change'], (endpoint: Endpoint) => void>> = {
+	readonly #follow: Readonly<Record<EndpointChange['change'], (endpoint: Endpoint) => void>> = {
 		added: ({service}) => {
 			this.#listener.onRoom(service);
 		},
@@ -128,7 +128,7 @@
 	}
 
 	/** Writes down what changed in the book; `source` says where the news came from, `ageMs` how long ago the directory was read for it. */
-	note(changes: readonly BookChange[], source: string, ageMs = 0): void {
+	note(changes: readonly EndpointChange[], source: string, ageMs = 0): void {
 		for (const {endpoint, change, position} of changes) {
 			const {id, service, address, stage, hall} = endpoint;
 			this.#context.log('endpointChanged', {
@@ -144,7 +144,7 @@
 
 	/** Takes over which endpoints another host knows to have left. */
 	hearDepartures(departures: readonly Departure[], from: string): void {
-		this.note(this.book.hearDepartures(departures, this.#context.clock.now()), from);
+		this.note(this.book.mergeDepartures(departures, this.#context.clock.now()), from);
 	}
 
 	/** Endpoints of a service that take new work, in the order to try them. */
@@ -275,7 +275,7 @@
 			return;
 		}
 
-		if (this.health.hear(pause, clock.now())) {
+		if (this.health.mergePause(pause, clock.now())) {
 			log('endpointPaused', {endpoint: pause.endpoint, pauseMs: Math.round(pause.leftMs), source: from});
 			metrics.add('pauses', {source: 'peer'});
 		}
--- a/packages/relay/src/upstream/silent-sends.ts
+++ b/packages/relay/src/upstream/silent-sends.ts
@@ -4,7 +4,7 @@
  * end that cut no connection; alone, a request that takes long is silent too.
  * Neither safety nor efficiency rests here.
  */
-import {type ContentName} from '@gatehead/policy/relay/crash-suspects';
+import {type ContentId} from '@gatehead/policy/relay/crash-suspects';
 
 /** How long such sends are kept, in milliseconds: an endpoint that falls silent is known to be gone after some heartbeats. */
 const keepMs = 15_000;
@@ -13,7 +13,7 @@
 
 /** A send that was given up, at an endpoint's start. */
 export type SilentSend = {
-	readonly content: ContentName;
+	readonly content: ContentId;
 	readonly end: string;
 	readonly at: number;
 };
--- a/packages/relay/src/work/service-queue.ts
+++ b/packages/relay/src/work/service-queue.ts
@@ -2,7 +2,7 @@
  * Admission queue of one service at one host, with its release-rate and
  * start-latency estimates. Reports queue length and placements to peers.
  */
-import {AdmissionQueue, type Outlook, type Waiter} from '@gatehead/policy/relay/admission-queue';
+import {AdmissionQueue, type LoadEstimate, type Waiter} from '@gatehead/policy/relay/admission-queue';
 import {ReleaseRate} from '@gatehead/policy/relay/release-rate';
 import {StartTime} from '@gatehead/policy/relay/start-time';
 import {type RelayContext} from '../core/context.js';
@@ -137,7 +137,7 @@
 				return;
 			}
 
-			if (this.#queue.has(waiter) && !this.#queue.doesYield(waiter, this.#parts.context.clock.now(), outlook)) {
+			if (this.#queue.has(waiter) && !this.#queue.shouldYield(waiter, this.#parts.context.clock.now(), outlook)) {
 				failed += await this.#reserveFor(waiter) ? 0 : 1;
 			}
 		}
@@ -160,21 +160,21 @@
 		return true;
 	}
 
-	#refuseUnservable(outlook: Outlook): void {
+	#refuseUnservable(outlook: LoadEstimate): void {
 		const {endpoints, context} = this.#parts;
 		const code = endpoints.countDecode(this.#service) > 0 ? 'overloaded' : 'endpointsDown';
-		for (const {waiter, detail} of this.#queue.findHopeless(context.clock.now(), outlook)) {
-			const retryAfterMs = isOff(context, 'comeBackTimes') ? defaultRetryAfterMs : this.#queue.comeBackMs(waiter, context.clock.now(), outlook, context.random);
+		for (const {waiter, detail} of this.#queue.findRejections(context.clock.now(), outlook)) {
+			const retryAfterMs = isOff(context, 'comeBackTimes') ? defaultRetryAfterMs : this.#queue.retryDelayMs(waiter, context.clock.now(), outlook, context.random);
 			waiter.resolve({
 				kind: 'refused', code, retryAfterMs, detail,
 			});
 		}
 	}
 
-	#outlook(): Outlook {
+	#outlook(): LoadEstimate {
 		const {endpoints, news} = this.#parts;
 		const replicas = endpoints.countDecode(this.#service);
-		return {elsewhere: news.countWaitingAtPeers(this.#service), releasesPerS: this.rate.perSecond(replicas), startMs: this.#start.valueMs};
+		return {remoteWaiting: news.countWaitingAtPeers(this.#service), releasesPerS: this.rate.perSecond(replicas), startMs: this.#start.valueMs};
 	}
 
 	#stageOf({isContinuation, job}: ReservationRequest): Waiter['stage'] {
