--- a/packages/policy/src/relay/crash-suspects.ts
+++ b/packages/policy/src/relay/crash-suspects.ts
@@ -82,16 +82,16 @@
 	}
 
 	/** Records that an endpoint crashed while it ran a content; returns whether the crash was new. */
-	recordCrash({digest, bytes}: ContentId, end: string, at: number): boolean {
+	recordCrash({digest, bytes}: ContentId, crash: string, at: number): boolean {
 		const suspect = this.#getOrAdd(digest, bytes, at);
-		const known = suspect.ends.get(end);
+		const known = suspect.ends.get(crash);
 		if (known !== undefined) {
 			// A delayed report makes a crash look later than it was
-			suspect.ends.set(end, Math.min(known, at));
+			suspect.ends.set(crash, Math.min(known, at));
 			return false;
 		}
 
-		suspect.ends.set(end, at);
+		suspect.ends.set(crash, at);
 		trim(suspect.ends, maxCrashes);
 		return true;
 	}
@@ -103,10 +103,10 @@
 	}
 
 	/** Refutes a crash for all contents, as when the endpoint turns out to be alive. Returns the contents for which that was new. */
-	refuteCrash(end: string): string[] {
+	refuteCrash(crash: string): string[] {
 		const cleared: string[] = [];
 		for (const [digest, suspect] of this.#suspects) {
-			if (suspect.ends.has(end) && refute(suspect, [end])) {
+			if (suspect.ends.has(crash) && refute(suspect, [crash])) {
 				cleared.push(digest);
 			}
 		}
@@ -116,10 +116,10 @@
 
 	/** Merges another host's report; returns the crashes that were new. */
 	merge({content, bytes, ends, refuted}: CrashReport, now: number): string[] {
-		const news: string[] = [];
+		const added: string[] = [];
 		for (const {end, ageMs} of ends) {
 			if (ageMs < retentionMs && this.recordCrash({digest: content, bytes}, end, now - ageMs)) {
-				news.push(end);
+				added.push(end);
 			}
 		}
 
@@ -128,7 +128,7 @@
 			refute(this.#getOrAdd(content, bytes, now), refuted);
 		}
 
-		return news;
+		return added;
 	}
 
 	/** Whether a request with this content may run. */
--- a/packages/policy/src/relay/endpoint-signals.ts
+++ b/packages/policy/src/relay/endpoint-signals.ts
@@ -1,7 +1,6 @@
 /**
- * What endpoints state about themselves in responses, as one host knows it:
- * rate limits, drain notices, backoff periods. All decisions that rest on
- * these signals are taken here.
+ * Signals that endpoints state in responses (rate limits, drain notices and
+ * backoff periods), and all decisions that depend on them.
  */
 import {type RateLimit} from '@gatehead/schema/relay-message';
 import {type SignalState} from '@gatehead/schema/relay-status';
