--- a/packages/policy/src/relay/joint-loss.ts
+++ b/packages/policy/src/relay/joint-loss.ts
@@ -1,45 +1,46 @@
 /**
- * Tells an outage of the directory that this host did not notice from single
- * departures: in one, the entries of most of a service lapse together.
- * Safety: entries that are taken back for it are kept for a short grace alone.
+ * Detects that most entries of a service were removed from the directory at
+ * about the same time, which points to a directory outage that this host did
+ * not notice rather than to endpoints shutting down.
+ * Safety: entries restored for this reason are kept only for `massGraceMs`.
  */
 import {type Position} from '@gatehead/schema/position';
 import {type Endpoint} from '@gatehead/schema/routing';
 
-/** How long entries are kept that vanish together while the directory seems to answer, in milliseconds. An outage that nobody noticed brings its entries back within the grace behind a return; a real departure of many must be believed before new work to leaving endpoints counts as a fault, two seconds after it, with two sweeps to spare. */
+/** How long entries that were removed together are kept while the directory appears reachable, in milliseconds. After an unnoticed outage they reappear within this time. It is two sweeps shorter than the two seconds after which new work on a leaving endpoint counts as a fault, in case the endpoints really shut down. */
 export const massGraceMs = 1500;
-/** Share of a service's entries that must vanish within one grace to be read as an outage that this host did not notice: planned work takes fewer at once. */
-const massShare = 0.5;
-/** Least number of such entries: of two, one may leave and one be lost by chance. */
-const massCount = 3;
+/** Fraction of a service's entries that must be removed within one window to count as a mass removal; planned maintenance removes fewer at once. */
+const minRemovedFraction = 0.5;
+/** Minimum number of removed entries: two may be a shutdown and an unrelated failure. */
+const minRemovedEntries = 3;
 
-/** An entry that was removed. */
+/** An entry that was removed from the directory; `at` is in milliseconds. */
 export type Loss = {
 	readonly at: number;
 	readonly position: Position;
 	readonly endpoint: Endpoint;
 };
 
-/** Entries removed lately. */
+/** Tracks recently removed entries. */
 export class JointLoss {
 	readonly #windowMs: number;
-	#lost: Loss[] = [];
+	#recent: Loss[] = [];
 
-	/** Losses within `windowMs` of each other count as joint. */
+	/** Removals within `windowMs` of each other count as one mass removal. */
 	constructor(windowMs: number) {
 		this.#windowMs = windowMs;
 	}
 
-	/** Notes a loss; returns all that belong to an outage, given how many endpoints of the service are left. */
+	/** Records a removal. Returns all removals of the service in the window if they form a mass removal, otherwise an empty array; `countLeft` returns the number of remaining endpoints of the service. */
 	add(loss: Loss, countLeft: () => number): readonly Loss[] {
 		const {at, endpoint: {service}} = loss;
-		this.#lost = [...this.#lost, loss].filter(each => at - each.at <= this.#windowMs);
-		const joint = this.#lost.filter(({endpoint}) => endpoint.service === service);
-		if (joint.length < massCount || joint.length < massShare * (joint.length + countLeft())) {
+		this.#recent = [...this.#recent, loss].filter(each => at - each.at <= this.#windowMs);
+		const sameService = this.#recent.filter(({endpoint}) => endpoint.service === service);
+		if (sameService.length < minRemovedEntries || sameService.length < minRemovedFraction * (sameService.length + countLeft())) {
 			return [];
 		}
 
-		this.#lost = this.#lost.filter(({endpoint}) => endpoint.service !== service);
-		return joint;
+		this.#recent = this.#recent.filter(({endpoint}) => endpoint.service !== service);
+		return sameService;
 	}
 }
