--- a/packages/policy/src/relay/orders-under-way.test.ts
+++ b/packages/policy/src/relay/orders-under-way.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: which part a replica counts for while it changes. */
+/** A replica that is changing its stage must not receive a second order. */
 import {describe, it} from 'node:test';
 import {type Endpoint} from '@gatehead/schema/routing';
 import {expect} from 'earl';
@@ -11,7 +11,7 @@
 
 type Case = {
 	readonly name: string;
-	/** When the replica was ordered to read prompts; undefined: never. */
+	/** When the replica was ordered to change to prefill, in milliseconds; undefined if never. */
 	readonly orderedAt: number | undefined;
 	readonly hasFailed?: boolean;
 	readonly published: Endpoint;
@@ -21,19 +21,19 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'a replica without an order counts as published', orderedAt: undefined, published: decode, now: 0, stage: 'decode',
+		name: 'keeps the published stage without an order', orderedAt: undefined, published: decode, now: 0, stage: 'decode',
 	},
 	{
-		name: 'one that changes counts as changed', orderedAt: 0, published: decode, now: 12_000, stage: 'prefill',
+		name: 'applies a pending order', orderedAt: 0, published: decode, now: 12_000, stage: 'prefill',
 	},
 	{
-		name: 'one that refused the order does not', orderedAt: 0, hasFailed: true, published: decode, now: 10, stage: 'decode',
+		name: 'drops a refused order', orderedAt: 0, hasFailed: true, published: decode, now: 10, stage: 'decode',
 	},
 	{
-		name: 'an order that came to nothing is forgotten', orderedAt: 0, published: decode, now: 21_000, stage: 'decode',
+		name: 'drops an expired order', orderedAt: 0, published: decode, now: 21_000, stage: 'decode',
 	},
 	{
-		name: 'one that has changed counts as published', orderedAt: 0, published: prefill, now: 7000, stage: 'prefill',
+		name: 'keeps the published stage once the change is complete', orderedAt: 0, published: prefill, now: 7000, stage: 'prefill',
 	},
 ];
 
@@ -53,7 +53,7 @@
 		});
 	}
 
-	it('a replica that changed back later is not taken for one that changes', () => {
+	it('does not reapply a completed order after the replica changes back', () => {
 		const orders = new OrdersUnderWay();
 		orders.begin('r', 'prefill', 0);
 		orders.apply([prefill], 7000);
--- a/packages/policy/src/relay/orders-under-way.ts
+++ b/packages/policy/src/relay/orders-under-way.ts
@@ -1,38 +1,38 @@
 /**
- * Replicas that took an order to change their part and have not published the
- * new one yet: they count as changed, so that one change is not ordered twice.
- * Efficiency: an order that came to nothing is forgotten after a while.
+ * Tracks stage changes that were ordered but not yet published by the replica.
+ * Such replicas count with their new stage, so that a change is not ordered
+ * twice. An order that is never carried out expires.
  */
 import {type Endpoint} from '@gatehead/schema/routing';
 import {type StageChange} from './stage-split.js';
 
-/** Longest time until a replica that took an order publishes its new part, in milliseconds: its streams end first, the longest after ten seconds, and the change takes six. */
-const mostChangeMs = 20_000;
+/** Time after which an unfinished order expires, in milliseconds: streams drain for up to ten seconds, then the change itself takes six. */
+const orderTimeoutMs = 20_000;
 
-type Order = {
+type PendingOrder = {
 	readonly stage: StageChange['stage'];
 	readonly at: number;
 };
 
-/** The orders of one host. */
+/** Pending stage changes ordered by this host. */
 export class OrdersUnderWay {
-	readonly #orders = new Map<string, Order>();
+	readonly #orders = new Map<string, PendingOrder>();
 
-	/** Notes an order that goes out. */
+	/** Records an order sent to an endpoint. */
 	begin(endpoint: string, stage: StageChange['stage'], now: number): void {
 		this.#orders.set(endpoint, {stage, at: now});
 	}
 
-	/** Notes that an order was not taken. */
+	/** Removes an order that the endpoint refused. */
 	fail(endpoint: string): void {
 		this.#orders.delete(endpoint);
 	}
 
-	/** Replicas with the parts that they have or will have; forgets orders that are carried out, or too old. */
+	/** Returns the replicas with pending changes applied. Removes orders that are complete or expired. */
 	apply(replicas: readonly Endpoint[], now: number): Endpoint[] {
 		return replicas.map(each => {
 			const order = this.#orders.get(each.id);
-			if (order === undefined || order.stage === each.stage || now - order.at > mostChangeMs) {
+			if (order === undefined || order.stage === each.stage || now - order.at > orderTimeoutMs) {
 				this.#orders.delete(each.id);
 				return each;
 			}
--- a/packages/policy/src/relay/peer-use.test.ts
+++ b/packages/policy/src/relay/peer-use.test.ts
@@ -1,4 +1,4 @@
-/** What is known of decode memory that other hosts take. */
+/** Reservations must expire, so that a lost or exaggerated report does not block an endpoint. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {PeerUse} from './peer-use.js';
@@ -9,14 +9,14 @@
 	readonly tokens: number;
 };
 
-/** 1,000 tokens from 0 to 3,000 ms, 500 from 100 to 10,100 (longer than is believed). */
+/** 1,000 tokens reserved from 0 to 3,000 ms, and 500 from 100 ms for a minute, capped at 10,100 ms. */
 const cases: readonly Case[] = [
-	{name: 'is summed', now: 200, tokens: 1500},
-	{name: 'lapses by itself', now: 3000, tokens: 500},
-	{name: 'is not believed for ever', now: 10_100, tokens: 0},
+	{name: 'adds up active reservations', now: 200, tokens: 1500},
+	{name: 'drops an expired reservation', now: 3000, tokens: 500},
+	{name: 'caps the hold time', now: 10_100, tokens: 0},
 ];
 
-describe('memory taken by peers', () => {
+describe('decode memory reservations', () => {
 	for (const {name, now, tokens} of cases) {
 		it(name, () => {
 			const use = new PeerUse();
@@ -27,7 +27,7 @@
 		});
 	}
 
-	it('is forgotten with its endpoint', () => {
+	it('drops the reservations of a removed endpoint', () => {
 		const use = new PeerUse();
 		use.add('a', 1000, 3000, 0);
 		use.forget('a');
--- a/packages/policy/src/relay/peer-use.ts
+++ b/packages/policy/src/relay/peer-use.ts
@@ -1,45 +1,45 @@
 /**
- * Decode memory taken at endpoints without a send of this host in work there:
- * what other hosts said they take, and what was reserved here and is not used
- * yet, each for the time that it is expected to be held. Efficiency: news may
- * be late or lost, and lapses by itself, so that no second message is needed.
+ * Tracks decode memory that is reserved at endpoints but not yet in use by a
+ * request of this host: reservations reported by other hosts, and own ones
+ * whose request has not been sent. Each expires after its expected hold time,
+ * so no release message is needed. Reports may be late or lost.
  */
 
-/** Longest time that is believed, in milliseconds: few answers take longer, and what is believed too long keeps a free replica from being asked first. */
-const longestMs = 10_000;
+/** Maximum hold time, in milliseconds: few responses take longer, and a stale reservation makes a free replica look occupied. */
+const maxHoldMs = 10_000;
 
-type Taken = {
+type Reservation = {
 	readonly tokens: number;
 	readonly until: number;
 };
 
-/** What is taken at each endpoint. */
+/** Reservations by endpoint. */
 export class PeerUse {
-	readonly #taken = new Map<string, Taken[]>();
+	readonly #reservations = new Map<string, Reservation[]>();
 
-	/** Notes that so many tokens are taken at an endpoint for so long. */
+	/** Records a reservation of `tokens` at an endpoint for `heldMs` milliseconds, capped at ten seconds. */
 	add(endpoint: string, tokens: number, heldMs: number, now: number): void {
-		const left = this.#listLeft(endpoint, now);
-		left.push({tokens, until: now + Math.min(heldMs, longestMs)});
-		this.#taken.set(endpoint, left);
+		const active = this.#listActive(endpoint, now);
+		active.push({tokens, until: now + Math.min(heldMs, maxHoldMs)});
+		this.#reservations.set(endpoint, active);
 	}
 
-	/** Tokens now taken at an endpoint. */
+	/** Returns the tokens currently reserved at an endpoint. */
 	sum(endpoint: string, now: number): number {
 		let tokens = 0;
-		for (const taken of this.#taken.get(endpoint) ?? []) {
-			tokens += taken.until > now ? taken.tokens : 0;
+		for (const reservation of this.#reservations.get(endpoint) ?? []) {
+			tokens += reservation.until > now ? reservation.tokens : 0;
 		}
 
 		return tokens;
 	}
 
-	/** Forgets an endpoint that is gone. */
+	/** Removes all reservations of an endpoint. */
 	forget(endpoint: string): void {
-		this.#taken.delete(endpoint);
+		this.#reservations.delete(endpoint);
 	}
 
-	#listLeft(endpoint: string, now: number): Taken[] {
-		return (this.#taken.get(endpoint) ?? []).filter(({until}) => until > now);
+	#listActive(endpoint: string, now: number): Reservation[] {
+		return (this.#reservations.get(endpoint) ?? []).filter(({until}) => until > now);
 	}
 }
