--- a/packages/policy/src/relay/placement.ts
+++ b/packages/policy/src/relay/placement.ts
@@ -1,55 +1,55 @@
 /**
- * Orders endpoints for one send: those with the least work of this host
- * first, near ones and those with an open connection before others that are
- * alike, failing ones last. Efficiency: what other hosts send is not known
- * here; an endpoint that has no room says so itself.
+ * Orders the candidate endpoints of one send by cost: least loaded first,
+ * preferring the same hall and open connections, failing endpoints last. The
+ * load covers only this host's requests; an endpoint that is full rejects.
  */
 import {type Endpoint} from '@gatehead/schema/routing';
 import {type Random} from '../utils/random.js';
 
-/** What a host knows of one endpoint. */
+/** What this host knows about an endpoint. */
 export type Standing = {
-	/** Work of this host there, as a share of what the endpoint bears. */
+	/** This host's load on the endpoint, as a fraction of the endpoint's capacity. */
 	readonly load: number;
 	readonly isUsable: boolean;
-	/** Share of bad outcomes lately. */
+	/** Recent failure rate, from 0 to 1. */
 	readonly badness: number;
 	readonly hasConnection: boolean;
-	/** It refused work of this size a moment ago. */
+	/** The endpoint recently rejected a request of this size for lack of room. */
 	readonly isFull: boolean;
-	/** Other hosts than this one's peers send there, unheard. */
+	/** The endpoint belongs to another subset, so its load from other hosts is unknown. */
 	readonly isOfOtherSubset: boolean;
-	/** It takes few requests a second, and had one a moment ago. */
+	/** The endpoint is rate-limited and recently received a request. */
 	readonly isLimited: boolean;
-	/** It comes back from a backoff period, and this request is not for it yet. */
+	/** The endpoint is ramping up after a backoff period, and this request is not among those it gets. */
 	readonly isRamping: boolean;
 };
 
-/** How endpoints are weighed, each in units of a whole endpoint's load. */
+/** Cost terms, each in units of one endpoint's full load. */
 export type PlacementWeights = {
-	/** Another hall than the wanted one. */
+	/** Added for an endpoint in another hall. */
 	readonly farHall: number;
-	/** A connection would have to be opened. */
+	/** Added if a connection must be opened. */
 	readonly newConnection: number;
+	/** Multiplied by the failure rate. */
 	readonly badness: number;
-	/** An endpoint of another subset, in a large fleet. */
+	/** Added for an endpoint in another subset. */
 	readonly otherSubset: number;
-	/** Chance, so that hosts that know the same do not all choose alike. */
+	/** Upper bound of random noise, so that hosts with the same information do not all choose the same endpoint. */
 	readonly noise: number;
 };
 
-/** What counts more than any load: an endpoint that fails, and one that has just said that it has no room. */
-const unusable = 5;
-/** The second of them, in units of a whole load. */
-const full = 10;
-/** A rate-limited endpoint: each request there needs a permit, so others go first until they are half loaded. */
-const limited = 0.5;
-/** An endpoint whose load would be the least for a moment, since it had none for a while. */
-const ramping = 1;
+/** Cost of an unusable endpoint: above that of any load. */
+const unusableCost = 5;
+/** Cost of an endpoint that recently reported that it is full. */
+const fullCost = 10;
+/** Cost of a rate-limited endpoint: each request needs a permit, so others are preferred up to half load. */
+const limitedCost = 0.5;
+/** Cost of an endpoint that is ramping up: its load is briefly the lowest because it received nothing during its backoff. */
+const rampingCost = 1;
 
-/** Candidates in the order to try them; those set aside come last. */
+/** Returns the candidates in the order in which to try them; unusable and full ones come last. */
 export function orderEndpoints(candidates: readonly Endpoint[], standingOf: (endpoint: Endpoint) => Standing, hall: string, weights: PlacementWeights, random: Random): Endpoint[] {
-	const weighed = candidates.map(endpoint => {
+	const scored = candidates.map(endpoint => {
 		const {load, isUsable, badness, hasConnection, isFull, isOfOtherSubset, isLimited, isRamping} = standingOf(endpoint);
 		const cost = load
 			+ (endpoint.hall === hall ? 0 : weights.farHall)
@@ -57,12 +57,12 @@
 			+ (weights.badness * badness)
 			+ (isOfOtherSubset ? weights.otherSubset : 0)
 			+ (weights.noise * random.next())
-			+ (isLimited ? limited : 0)
-			+ (isRamping ? ramping : 0)
-			+ (isFull ? full : 0)
-			+ (isUsable ? 0 : unusable);
+			+ (isLimited ? limitedCost : 0)
+			+ (isRamping ? rampingCost : 0)
+			+ (isFull ? fullCost : 0)
+			+ (isUsable ? 0 : unusableCost);
 		return {endpoint, cost};
 	});
-	weighed.sort((left, right) => left.cost - right.cost);
-	return weighed.map(each => each.endpoint);
+	scored.sort((left, right) => left.cost - right.cost);
+	return scored.map(each => each.endpoint);
 }
