--- a/packages/policy/src/relay/quota-account.ts
+++ b/packages/policy/src/relay/quota-account.ts
@@ -1,103 +1,103 @@
 /**
- * What one host may use of one workspace's quota now: the part that the
- * quota's keeper has given it, for a short time. Small requests may go on
- * credit, so that they need not wait for the keeper's answer. Safety of the
- * bound: a part lapses, and credit is bounded by what all hosts together may
- * take on it.
+ * One host's balance of a workspace's quota: short-lived grants from the
+ * quota's coordinator (`keeper` in messages). Small requests may be admitted
+ * on credit, without waiting for a grant.
+ * Safety: the quota's bound relies on grants expiring, and on credit being
+ * limited by what all hosts together may take.
  */
 import {type QuotaLevel} from '@gatehead/schema/relay-message';
 import {type QuotaGrant} from './quota-window.js';
 
-/** How long a part may be used, in milliseconds: a busy host asks once or twice a second, and what it leaves unused is lost for no longer. */
+/** Lifetime of a grant, in milliseconds: a busy host requests one or two a second. What is unused then is lost. */
 export const partLifeMs = 1500;
-/** Time for which a host asks ahead, in milliseconds: below a part's life, so that little of it lapses. */
-const aheadMs = 900;
-/** Time over which the use is averaged, in milliseconds: a burst of three seconds shows within one. */
-const averageMs = 1000;
-/** Part of the expected use that may be left when the next part is asked for: the answer takes a few milliseconds, or 100 at a busy keeper. */
-const renewShare = 0.4;
-
-/** What an account says of a request. */
+/** Expected use that a request for a grant covers, in milliseconds: less than a grant's lifetime, so that little expires unused. */
+const prefetchMs = 900;
+/** Time constant of the average use, in milliseconds. */
+const averagingMs = 1000;
+/** Fraction of the expected use below which the next grant is requested: the answer takes a few milliseconds, up to 100 from a busy coordinator. */
+const renewFraction = 0.4;
+
+/** Decision about a request; `unknown` means that the coordinator must be asked. */
 export type AccountAnswer = 'granted' | 'unknown' | 'refused';
 
-/** One workspace's account at one host. */
+/** One workspace's balance on one host; times are in milliseconds, amounts in the quota's unit. */
 export class QuotaAccount {
 	#balance = 0;
-	#lapsesAt = Number.NEGATIVE_INFINITY;
+	#expiresAt = Number.NEGATIVE_INFINITY;
 	#refusedUntil = Number.NEGATIVE_INFINITY;
-	#heard: {readonly level: number; readonly keeper: string; readonly at: number} | undefined;
+	#lastReport: {readonly level: number; readonly keeper: string; readonly at: number} | undefined;
 	#useRate = 0;
 	#usedAt = 0;
 
-	/** What is left of the part in hand. */
+	/** Returns the unexpired balance; negative after use on credit. */
 	balance(now: number): number {
-		return now < this.#lapsesAt ? this.#balance : Math.min(0, this.#balance);
+		return now < this.#expiresAt ? this.#balance : Math.min(0, this.#balance);
 	}
 
-	/** Until when the keeper has nothing to give. */
+	/** Time until which the coordinator has nothing to grant. */
 	get refusedUntil(): number {
 		return this.#refusedUntil;
 	}
 
-	/** What the keeper had left when it last answered; undefined: it has not. */
+	/** Remaining quota in the coordinator's last answer, or undefined before the first. */
 	get levelHeard(): number | undefined {
-		return this.#heard?.level;
+		return this.#lastReport?.level;
 	}
 
-	/** Takes a request's cost, where the part in hand or `credit` covers it; `unknown`: the keeper has to be asked. */
+	/** Charges a request's cost if the balance or `credit` covers it. */
 	take(cost: number, credit: number, now: number): AccountAnswer {
 		const balance = this.balance(now);
 		const isRefused = now < this.#refusedUntil;
 		if (balance >= cost || (!isRefused && balance + credit >= cost)) {
-			this.#spend(cost, now);
+			this.#charge(cost, now);
 			return 'granted';
 		}
 
 		return isRefused ? 'refused' : 'unknown';
 	}
 
-	/** Whether the next part should be asked for before it is needed. */
+	/** Whether the next grant should be requested ahead of need. */
 	isLow(now: number): boolean {
-		return now >= this.#refusedUntil && this.balance(now) < renewShare * this.#expected(now);
+		return now >= this.#refusedUntil && this.balance(now) < renewFraction * this.#expectedUse(now);
 	}
 
-	/** What to ask for: `least` for what waits, together with what was used on credit and what is expected. */
+	/** Returns the amounts to request: `least` covers waiting requests and debt, `wanted` adds the expected use. */
 	wish(waiting: number, now: number): {least: number; wanted: number; heard: QuotaLevel | undefined} {
 		const debt = Math.max(0, -this.balance(now));
 		const least = waiting + debt;
-		const heard = this.#heard === undefined ? undefined : {level: this.#heard.level, keeper: this.#heard.keeper, ageMs: Math.max(0, now - this.#heard.at)};
-		return {least, wanted: least + this.#expected(now), heard};
+		const heard = this.#lastReport === undefined ? undefined : {level: this.#lastReport.level, keeper: this.#lastReport.keeper, ageMs: Math.max(0, now - this.#lastReport.at)};
+		return {least, wanted: least + this.#expectedUse(now), heard};
 	}
 
-	/** Takes over the keeper's answer. */
+	/** Applies the coordinator's answer. */
 	receive({granted, waitMs, level, keeper}: QuotaGrant, now: number): void {
-		this.#heard = {level, keeper, at: now};
+		this.#lastReport = {level, keeper, at: now};
 		if (granted > 0) {
 			this.#balance = this.balance(now) + granted;
-			this.#lapsesAt = now + partLifeMs;
+			this.#expiresAt = now + partLifeMs;
 			return;
 		}
 
 		this.#refusedUntil = now + waitMs;
 	}
 
-	/** Gives back what a request did not use. */
+	/** Refunds what a request did not use. */
 	giveBack(cost: number, now: number): void {
 		this.#balance = this.balance(now) + cost;
 	}
 
-	#spend(cost: number, now: number): void {
+	#charge(cost: number, now: number): void {
 		this.#balance = this.balance(now) - cost;
-		this.#useRate = this.#rate(now) + (cost / averageMs);
+		this.#useRate = this.#averageRate(now) + (cost / averagingMs);
 		this.#usedAt = now;
 	}
 
-	/** Use a millisecond, averaged. */
-	#rate(now: number): number {
-		return this.#useRate * Math.exp(-(now - this.#usedAt) / averageMs);
+	/** Average use per millisecond. */
+	#averageRate(now: number): number {
+		return this.#useRate * Math.exp(-(now - this.#usedAt) / averagingMs);
 	}
 
-	#expected(now: number): number {
-		return this.#rate(now) * aheadMs;
+	#expectedUse(now: number): number {
+		return this.#averageRate(now) * prefetchMs;
 	}
 }
--- a/packages/policy/src/relay/quota-keeper.ts
+++ b/packages/policy/src/relay/quota-keeper.ts
@@ -1,19 +1,20 @@
 /**
- * Which host deals out a workspace's quota, and how much of it. Safety of
- * the bound in a split: each side deals out the part that belongs to the
- * hosts that it hears.
+ * Selects the host that coordinates a workspace's quota (`keeper` in
+ * messages), and the fraction of the quota that it may grant.
+ * Safety: during a network partition the quota's bound holds because each side
+ * grants only the fraction for the hosts that it can reach.
  */
 import {rank} from '../core/rendezvous.js';
 
-/** Part of a quota that a host deals out which is asked in place of a keeper that does not answer: until the silent one is known to be gone, which takes some seconds, both may be dealing. */
+/** Fraction of a quota that a stand-in may grant when the coordinator does not answer: until failure detection removes the coordinator, both may be granting. */
 export const standInShare = 0.25;
 
-/** Hosts that may keep a workspace's quota, the one to ask first in front. */
+/** Ranks the hosts that may coordinate a workspace's quota, preferred first. */
 export function rankKeepers(workspace: string, hosts: readonly string[]): string[] {
 	return rank(`quota ${workspace}`, hosts);
 }
 
-/** Part of a quota that the hosts heard by this one deal out, of all that are known. */
+/** Returns the fraction of a quota, from 0 to 1, that `heard` reachable hosts out of `known` may grant. */
 export function shareOf(heard: number, known: number): number {
 	return Math.min(1, heard / Math.max(1, known));
 }
--- a/packages/policy/src/relay/quota-window.ts
+++ b/packages/policy/src/relay/quota-window.ts
@@ -1,193 +1,192 @@
 /**
- * A workspace's quota at the host that deals it out: what was dealt in the
- * last window, against what may be. Hosts take parts, for a request that
- * waits and for those that they expect in the next moment; where nothing is
- * left, each is told a turn of its own, so that a workspace at seven times
- * its usual brings the keeper a bounded number of questions. A window serves
- * more than a token bucket of the same rate and burst, whose burst is there
- * once and not once a window: of one workspace at twice its rate a bucket
- * refuses half, a window a third. Safety of the bound: a part lapses soon,
- * and a keeper that begins takes all but the burst of the window before for used.
+ * Sliding window of a workspace's quota, kept by its coordinator (`keeper` in
+ * messages). Hosts request grants for waiting and expected requests. When the
+ * quota is used up, each host gets its own retry time, which bounds the
+ * requests to the coordinator. Unlike a token bucket, a window allows the
+ * burst once per window.
+ * Safety: the quota's bound relies on grants expiring soon, and on a new
+ * coordinator counting all but the burst of the previous window as used.
  */
 import {type Quota} from '@gatehead/schema/routing';
 import {type QuotaLevel} from '@gatehead/schema/relay-message';
 
-/** Part of the allowed excess that is dealt out: hosts' parts are partly left unused, and what is refused within the limit is lost to its callers. The rest covers parts that are used in the next window, keepers that change, and splits. */
-const dealtExcess = 0.6;
-/** Part of the allowance that is dealt out: it lets a small workspace through whose requests come by chance together. */
-const dealtAllowance = 0.6;
-/** Part of what may be dealt out that is kept for others when one host asks for more than it needs at once. */
-const keptShare = 0.25;
-/** Largest part of what is left that one host gets for requests which it only expects, where little is left. */
-const scarceShare = 0.1;
-/** Least share of a quota at which a request larger than a whole window's is let in: many hosts that deal out a small part each must not all do so. */
-const leastOverdrawnShare = 0.5;
-/** Shortest and longest time after which a host that got nothing asks again, in milliseconds: at 100 hosts the longest brings 50 questions a second, a twentieth of a core. */
-const leastWaitMs = 250;
-const mostWaitMs = 2000;
-/** Time for which a keeper that has begun takes over what hosts heard of its predecessor, in milliseconds: hosts with work ask within a part's life. */
-const learnMs = 3000;
-/** Steps that a window is counted in: what was dealt counts for a sixteenth of it too long at most. */
-const steps = 16;
+/** Fraction of the allowed excess that is granted, since hosts leave part of their grants unused. The rest covers grants used in the next window, changes of coordinator, and partitions. */
+const grantedExcessFraction = 0.6;
+/** Fraction of the allowance that is granted: it absorbs coinciding requests of a small workspace. */
+const grantedAllowanceFraction = 0.6;
+/** Fraction of the capacity that is reserved for other hosts when a host requests more than it needs immediately. */
+const reservedFraction = 0.25;
+/** Maximum fraction of the remaining quota that a host gets for expected requests when little is left. */
+const maxScarceFraction = 0.1;
+/** Minimum share of the quota at which a request above the capacity of a whole window is admitted, so that several coordinators with small shares do not all admit one. */
+const minOversizedShare = 0.5;
+/** Bounds of the retry time of a host that got nothing, in milliseconds. With 100 hosts the upper one allows 50 requests a second. */
+const minRetryMs = 250;
+const maxRetryMs = 2000;
+/** Time for which a new coordinator accepts hosts' reports about its predecessor, in milliseconds: active hosts send a request within a grant's lifetime. */
+const recoveryMs = 3000;
+/** Buckets per window: a grant counts for at most one bucket too long. */
+const bucketCount = 16;
 const millisecondsPerSecond = 1000;
 
-/** What operators allow beyond the limit: a part of it, an amount in the quota's unit, and the window in which both are judged. */
+/** Tolerated excess over the limit: a fraction of it, a fixed amount in the quota's unit, and the window over which both apply, in milliseconds. */
 export type QuotaTolerance = {
 	readonly quotaExcess: number;
 	readonly quotaAllowance: number;
 	readonly quotaWindowMs: number;
 };
 
-/** What a host asks for, in the quota's unit. */
+/** A host's request for a grant, in the quota's unit. */
 export type QuotaWish = {
-	/** For requests that wait. */
+	/** Amount for waiting requests. */
 	readonly least: number;
-	/** With those that are expected. */
+	/** Amount for waiting and expected requests. */
 	readonly wanted: number;
-	/** What it last heard of the level. */
+	/** The last level that the host received, possibly from another coordinator. */
 	readonly heard?: QuotaLevel | undefined;
 };
 
-/** What a host gets. */
+/** Answer to a host's request. */
 export type QuotaGrant = {
 	readonly granted: number;
-	/** Time until the next question makes sense, where nothing was granted. */
+	/** Time until the host should retry, in milliseconds; 0 if something was granted. */
 	readonly waitMs: number;
+	/** Remaining quota. */
 	readonly level: number;
-	/** Who deals the quota out, unlike any other and unlike itself after a restart. */
+	/** Identifier of the coordinator, unique per process. */
 	readonly keeper: string;
 };
 
-type Step = {
+type Bucket = {
 	readonly index: number;
 	used: number;
 };
 
-/** One workspace's window. */
+/** One workspace's sliding window; times are in milliseconds. */
 export class QuotaWindow {
-	readonly #keeper: string;
+	readonly #coordinator: string;
 	readonly #tolerance: QuotaTolerance;
-	readonly #begunAt: number;
+	readonly #startedAt: number;
 	#quota: Quota;
-	/** Part of the quota that this keeper deals out, from 0 to 1. */
+	/** Fraction of the quota that this coordinator may grant, from 0 to 1. */
 	#share: number;
-	#steps: Step[] = [];
-	/** Until when what comes free is promised to hosts that were told to come back. */
-	#promisedUntil = Number.NEGATIVE_INFINITY;
+	#buckets: Bucket[] = [];
+	/** Time until which freed quota is reserved for hosts with an assigned retry time. */
+	#reservedUntil = Number.NEGATIVE_INFINITY;
 
-	/** `since`: from when on nobody else dealt this quota out. */
+	/** `since` is the time from which no other host granted this quota. */
 	constructor(keeper: string, quota: Quota, tolerance: QuotaTolerance, share: number, since: number) {
-		this.#keeper = keeper;
+		this.#coordinator = keeper;
 		this.#tolerance = tolerance;
 		this.#quota = quota;
 		this.#share = share;
-		this.#begunAt = since;
+		this.#startedAt = since;
 		const spare = this.#level(since) - (share * quota.burst);
-		this.#steps = Array.from({length: steps}, (_, index) => ({index: this.#indexAt(since) - steps + 1 + index, used: spare / steps}));
+		this.#buckets = Array.from({length: bucketCount}, (_, index) => ({index: this.#indexAt(since) - bucketCount + 1 + index, used: spare / bucketCount}));
 	}
 
-	/** Takes over a quota and the part of it that is dealt out here. What was used under a higher limit does not count against a lower one beyond that one's rate. */
+	/** Updates the quota and this coordinator's share. After a reduction, earlier use counts at most at the new rate. */
 	adjust(quota: Quota, share: number, now: number): void {
 		const isLower = quota.ratePerS < this.#quota.ratePerS || quota.burst < this.#quota.burst;
 		this.#quota = quota;
 		this.#share = share;
 		if (isLower) {
-			this.#cutUsed(now);
+			this.#capUse(now);
 		}
 	}
 
-	/** Answers a host. */
+	/** Grants as much of a request as possible, or assigns a retry time. */
 	take({least, wanted, heard}: QuotaWish, now: number): QuotaGrant {
-		this.#learn(heard, now);
-		const granted = this.#fit(least, wanted, now);
-		this.#stepAt(now).used += granted;
+		this.#recover(heard, now);
+		const granted = this.#computeGrant(least, wanted, now);
+		this.#bucketAt(now).used += granted;
 		return {
-			granted, waitMs: granted > 0 ? 0 : this.#promise(least, now), level: this.#level(now), keeper: this.#keeper,
+			granted, waitMs: granted > 0 ? 0 : this.#assignRetry(least, now), level: this.#level(now), keeper: this.#coordinator,
 		};
 	}
 
-	get #stepMs(): number {
-		return this.#tolerance.quotaWindowMs / steps;
+	get #bucketMs(): number {
+		return this.#tolerance.quotaWindowMs / bucketCount;
 	}
 
-	/** What one window may bring in all. */
+	/** Amount that this coordinator may grant per window. */
 	get #capacity(): number {
 		const {quotaExcess, quotaAllowance, quotaWindowMs} = this.#tolerance;
 		const limit = (this.#quota.ratePerS * quotaWindowMs / millisecondsPerSecond) + this.#quota.burst;
-		return this.#share * ((limit * (1 + (dealtExcess * quotaExcess))) + (dealtAllowance * quotaAllowance));
+		return this.#share * ((limit * (1 + (grantedExcessFraction * quotaExcess))) + (grantedAllowanceFraction * quotaAllowance));
 	}
 
 	#level(now: number): number {
-		this.#forget(now);
-		return this.#capacity - this.#steps.reduce((sum, {used}) => sum + used, 0);
+		this.#dropExpired(now);
+		return this.#capacity - this.#buckets.reduce((sum, {used}) => sum + used, 0);
 	}
 
-	/** What was used before counts as use at the quota's rate at most. */
-	#cutUsed(now: number): void {
-		const most = this.#share * this.#quota.ratePerS * this.#stepMs / millisecondsPerSecond;
-		this.#forget(now);
-		for (const step of this.#steps) {
-			step.used = Math.min(step.used, most);
+	/** Caps each bucket at the quota's rate. */
+	#capUse(now: number): void {
+		const most = this.#share * this.#quota.ratePerS * this.#bucketMs / millisecondsPerSecond;
+		this.#dropExpired(now);
+		for (const bucket of this.#buckets) {
+			bucket.used = Math.min(bucket.used, most);
 		}
 	}
 
-	/** A keeper that begins does not know what its predecessor has dealt out: its hosts do. */
-	#learn(heard: QuotaLevel | undefined, now: number): void {
+	/** Recovers the predecessor's grants from the levels that its hosts report. */
+	#recover(heard: QuotaLevel | undefined, now: number): void {
 		const {quotaWindowMs} = this.#tolerance;
-		if (heard === undefined || heard.keeper === this.#keeper || now - this.#begunAt >= learnMs || heard.ageMs >= quotaWindowMs) {
+		if (heard === undefined || heard.keeper === this.#coordinator || now - this.#startedAt >= recoveryMs || heard.ageMs >= quotaWindowMs) {
 			return;
 		}
 
-		// What came free until its hosts asked again, others have taken
-		const freed = this.#capacity * Math.max(0, heard.ageMs - mostWaitMs) / quotaWindowMs;
-		const lacking = this.#level(now) - heard.level - freed;
-		if (lacking > 0) {
-			this.#stepAt(now).used += lacking;
+		// Assumes that other hosts took what was freed within their retry time
+		const freed = this.#capacity * Math.max(0, heard.ageMs - maxRetryMs) / quotaWindowMs;
+		const missing = this.#level(now) - heard.level - freed;
+		if (missing > 0) {
+			this.#bucketAt(now).used += missing;
 		}
 	}
 
-	#fit(least: number, wanted: number, now: number): number {
+	#computeGrant(least: number, wanted: number, now: number): number {
 		const level = this.#level(now);
 		const capacity = this.#capacity;
-		if (wanted > least && level - wanted >= keptShare * capacity) {
+		if (wanted > least && level - wanted >= reservedFraction * capacity) {
 			return wanted;
 		}
 
 		if (level >= least) {
-			return Math.max(least, Math.min(wanted, scarceShare * level));
+			return Math.max(least, Math.min(wanted, maxScarceFraction * level));
 		}
 
-		// A request that is larger than a whole window's goes once the window is clear
-		return least > capacity && level >= keptShare * capacity && this.#share >= leastOverdrawnShare ? least : 0;
+		// Admits a request above the capacity only when the window is nearly clear
+		return least > capacity && level >= reservedFraction * capacity && this.#share >= minOversizedShare ? least : 0;
 	}
 
-	#promise(least: number, now: number): number {
-		const from = Math.max(this.#promisedUntil, now);
-		const lacking = this.#promisedUntil > now ? least : Math.max(0, least - this.#level(now));
+	#assignRetry(least: number, now: number): number {
+		const from = Math.max(this.#reservedUntil, now);
+		const missing = this.#reservedUntil > now ? least : Math.max(0, least - this.#level(now));
 		const freedPerMs = Math.max(Number.EPSILON, this.#capacity / this.#tolerance.quotaWindowMs);
-		const until = from + (lacking / freedPerMs);
-		this.#promisedUntil = Math.min(until, now + mostWaitMs);
-		return Math.min(mostWaitMs, Math.max(leastWaitMs, until - now));
+		const until = from + (missing / freedPerMs);
+		this.#reservedUntil = Math.min(until, now + maxRetryMs);
+		return Math.min(maxRetryMs, Math.max(minRetryMs, until - now));
 	}
 
 	#indexAt(now: number): number {
-		return Math.floor(now / this.#stepMs);
+		return Math.floor(now / this.#bucketMs);
 	}
 
-	#stepAt(now: number): Step {
+	#bucketAt(now: number): Bucket {
 		const index = this.#indexAt(now);
-		const last = this.#steps.at(-1);
+		const last = this.#buckets.at(-1);
 		if (last !== undefined && last.index >= index) {
 			return last;
 		}
 
-		const step = {index, used: 0};
-		this.#steps.push(step);
-		return step;
+		const bucket = {index, used: 0};
+		this.#buckets.push(bucket);
+		return bucket;
 	}
 
-	#forget(now: number): void {
+	#dropExpired(now: number): void {
 		const first = this.#indexAt(now - this.#tolerance.quotaWindowMs);
-		this.#steps = this.#steps.filter(({index}) => index >= first);
+		this.#buckets = this.#buckets.filter(({index}) => index >= first);
 	}
 }
--- a/packages/policy/src/relay/quota.test.ts
+++ b/packages/policy/src/relay/quota.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: a workspace's quota over many hosts, without a network: who gets how much, and that the bound of any window holds. */
+/** Simulates a workspace's quota shared by many hosts: no window may exceed the quota's bound, and little of the quota may be lost. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import fc from 'fast-check';
@@ -21,10 +21,10 @@
 	};
 }
 
-/** Hosts that hear each other, and the part of the quota that they deal out. */
+/** One side of a network partition, and the fraction of the quota that it may grant. */
 type Side = {readonly name: string; readonly share: number};
 
-/** A fleet that shares one workspace's quota; questions are answered one step later. */
+/** A fleet that shares one workspace's quota. */
 class QuotaFleet {
 	readonly #accounts: QuotaAccount[];
 	readonly #windows = new Map<string, QuotaWindow>();
@@ -36,12 +36,12 @@
 		this.#accounts = Array.from({length: hosts}, () => new QuotaAccount());
 	}
 
-	/** The keeper's memory is lost, as where its host is replaced. */
+	/** Discards the coordinators' state, as if their hosts were replaced. */
 	loseKeeper(): void {
 		this.#windows.clear();
 	}
 
-	/** A request at a host; its cost where it is let in at once. `side` is where the host stands in a split. */
+	/** Sends a request to a host. Returns its cost if it is admitted, otherwise 0. */
 	request(host: number, cost: number, now: number, side: Side): number {
 		const account = this.#accounts[host];
 		if (account === undefined) {
@@ -103,11 +103,11 @@
 	readonly promptShare: number;
 	readonly seed: number;
 	readonly loseKeeperEveryMs?: number;
-	/** Each half of the fleet asks a keeper of its own, with its share. */
+	/** Each half of the fleet uses its own coordinator. */
 	readonly isSplit?: boolean;
 };
 
-/** Plays requests that come by chance at hosts by chance. */
+/** Simulates requests of random cost at random hosts. */
 function play({hosts, ratePerS, demand, seconds, promptShare, seed, loseKeeperEveryMs, isSplit}: Play): {uses: Use[]; asked: number} {
 	const random = seedRandom(seed);
 	const fleet = new QuotaFleet(hosts, makeQuota(ratePerS));
@@ -143,54 +143,54 @@
 type Case = {
 	readonly name: string;
 	readonly play: Play;
-	/** Least part that is let in of what is asked for, or of what the quota allows, whichever is less. */
+	/** Minimum admitted fraction of the demand or of the quota, whichever is less. */
 	readonly leastServed: number;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'a workspace within its quota is refused nothing, on many hosts', play: {
+		name: 'admits a workspace within its quota on many hosts', play: {
 			hosts: 88, ratePerS: 131_000, demand: 0.56, seconds: 30, promptShare: 0.4, seed: 1,
 		}, leastServed: 0.995,
 	},
 	{
-		name: 'a small one whose hosts each see it once in ten seconds neither', play: {
+		name: 'admits a small workspace that each host sees about once in ten seconds', play: {
 			hosts: 88, ratePerS: 36_000, demand: 0.3, seconds: 60, promptShare: 0.3, seed: 2,
 		}, leastServed: 0.995,
 	},
 	{
-		name: 'at four times its quota it gets its quota', play: {
+		name: 'serves nearly the whole quota when demand is four times as high', play: {
 			hosts: 88, ratePerS: 131_000, demand: 4.2, seconds: 30, promptShare: 0.4, seed: 3,
 		}, leastServed: 0.97,
 	},
 	{
-		name: 'in a fleet of seven too', play: {
+		name: 'serves nearly the whole quota on seven hosts', play: {
 			hosts: 7, ratePerS: 60_000, demand: 4, seconds: 30, promptShare: 0.4, seed: 4,
 		}, leastServed: 0.97,
 	},
 	{
-		name: 'at 350 hosts too', play: {
+		name: 'serves at least nine tenths of the quota on 350 hosts', play: {
 			hosts: 350, ratePerS: 300_000, demand: 4, seconds: 20, promptShare: 0.4, seed: 5,
 		}, leastServed: 0.9,
 	},
 	{
-		name: 'each side of a split deals out its part', play: {
+		name: 'serves nearly the whole quota across a partition', play: {
 			hosts: 88, ratePerS: 131_000, demand: 4.2, seconds: 30, promptShare: 0.4, seed: 6, isSplit: true,
 		}, leastServed: 0.97,
 	},
 	{
-		name: 'a keeper that is lost every five seconds is no way round the bound', play: {
+		name: 'keeps the bound when the coordinator is lost every five seconds', play: {
 			hosts: 88, ratePerS: 131_000, demand: 4.2, seconds: 30, promptShare: 0.4, seed: 7, loseKeeperEveryMs: 5000,
 		}, leastServed: 0.65,
 	},
 	{
-		name: 'nor does it cost a workspace anything that is within its quota', play: {
+		name: 'admits a workspace within its quota when the coordinator is lost every five seconds', play: {
 			hosts: 88, ratePerS: 131_000, demand: 0.56, seconds: 30, promptShare: 0.4, seed: 8, loseKeeperEveryMs: 5000,
 		}, leastServed: 0.995,
 	},
 ];
 
-describe('a quota over all hosts', () => {
+describe('fleet-wide quota', () => {
 	for (const {name, play: each, leastServed} of cases) {
 		it(name, () => {
 			const {uses, asked} = play(each);
@@ -201,7 +201,7 @@
 		});
 	}
 
-	it('holds its bound for any number of hosts, rate, demand and loss of keepers', () => {
+	it('keeps the bound for any number of hosts, rate, demand and loss of coordinators', () => {
 		fc.assert(fc.property(fc.record({
 			hosts: fc.integer({min: 1, max: 120}),
 			ratePerS: fc.integer({min: 5000, max: 400_000}),
@@ -217,14 +217,14 @@
 	});
 });
 
-describe('a host\'s account', () => {
-	it('lets a small request go on credit before the keeper has answered, a large one not', () => {
+describe('quota account', () => {
+	it('admits a small request on credit before the first grant, but not a large one', () => {
 		const account = new QuotaAccount();
 		expect([account.take(200, 397, 0), account.take(200, 397, 0), account.take(5273, 397, 0)]).toEqual(['granted', 'unknown', 'unknown']);
 		expect(account.wish(0, 0).least).toEqual(200);
 	});
 
-	it('does not use a part that has lapsed', () => {
+	it('does not use an expired grant', () => {
 		const account = new QuotaAccount();
 		account.receive({
 			granted: 1000, waitMs: 0, level: 0, keeper: 'k',
@@ -233,7 +233,7 @@
 		expect(account.take(500, 0, partLifeMs)).toEqual('unknown');
 	});
 
-	it('gives no credit while its keeper has nothing to give, and says until when', () => {
+	it('gives no credit until the retry time of a refusal', () => {
 		const account = new QuotaAccount();
 		account.receive({
 			granted: 0, waitMs: 700, level: -10, keeper: 'k',
@@ -243,7 +243,7 @@
 		expect(account.take(200, 397, 800)).toEqual('granted');
 	});
 
-	it('uses again what a request gave back', () => {
+	it('reuses a refunded amount', () => {
 		const account = new QuotaAccount();
 		account.receive({
 			granted: 1000, waitMs: 0, level: 0, keeper: 'k',
@@ -253,7 +253,7 @@
 		expect(account.take(1000, 0, 4)).toEqual('granted');
 	});
 
-	it('asks ahead when little of what it uses is left', () => {
+	it('reports a low balance when less than the expected use is left', () => {
 		const account = new QuotaAccount();
 		account.receive({
 			granted: 3000, waitMs: 0, level: 0, keeper: 'k',
@@ -267,8 +267,8 @@
 	});
 });
 
-describe('a quota\'s keeper', () => {
-	it('serves more than the rate alone where the burst comes once a window', () => {
+describe('quota coordinator', () => {
+	it('allows the burst once per window', () => {
 		const window = new QuotaWindow('keeper', {...makeQuota(1000), burst: 4000}, strict, 1, 0);
 		let granted = 0;
 		for (let now = 0; now < 4 * windowMs; now += 100) {
@@ -278,26 +278,26 @@
 		expect(granted / (4 * windowMs) > 0.0013).toEqual(true);
 	});
 
-	it('tells hosts that get nothing turns that do not come together', () => {
+	it('assigns distinct retry times to hosts that get nothing', () => {
 		const window = new QuotaWindow('keeper', {...makeQuota(2000), burst: 0}, strict, 1, 0);
 		const waits = Array.from({length: 4}, () => window.take({least: 1000, wanted: 1000}, 0).waitMs);
 		expect(waits).toEqual([500, 1000, 1500, 2000]);
 	});
 
-	it('that begins takes the window before for used, but for the burst', () => {
+	it('counts all but the burst of the previous window as used at start', () => {
 		const window = new QuotaWindow('keeper', {...makeQuota(1000), burst: 3000}, strict, 1, 0);
 		expect([window.take({least: 3000, wanted: 3000}, 0).granted, window.take({least: 500, wanted: 500}, 0).granted]).toEqual([3000, 0]);
 		expect(window.take({least: 3500, wanted: 3500}, windowMs / 2).granted).toEqual(3500);
 	});
 
-	it('that begins takes over what its hosts heard before', () => {
+	it('recovers the predecessor\'s grants from host reports', () => {
 		const begin = () => new QuotaWindow('keeper', {...makeQuota(1000), burst: 8000}, strict, 1, 0);
 		expect(begin().take({least: 1000, wanted: 1000}, 0).granted).toEqual(1000);
 		expect(begin().take({least: 1000, wanted: 1000, heard: {level: 0, keeper: 'other', ageMs: 100}}, 0).granted).toEqual(0);
 		expect(begin().take({least: 1000, wanted: 1000, heard: {level: 0, keeper: 'other', ageMs: 2600}}, 0).granted).toEqual(1000);
 	});
 
-	it('does not hold what was used under a higher limit against a lower one', () => {
+	it('caps earlier use at the new rate after a reduction', () => {
 		const window = new QuotaWindow('keeper', makeQuota(10_000), strict, 1, 0);
 		for (let now = 0; now < windowMs; now += 100) {
 			window.take({least: 1000, wanted: 1000}, now);
@@ -308,20 +308,20 @@
 		expect(window.take({least: 1000, wanted: 1000}, windowMs).granted).toEqual(0);
 	});
 
-	it('lets a request in that is larger than a whole window\'s, once this is clear', () => {
+	it('admits a request above the window\'s capacity once the window is clear', () => {
 		const window = new QuotaWindow('keeper', {...makeQuota(100), burst: 500}, strict, 1, 0);
 		const takeAt = (now: number) => window.take({least: 5000, wanted: 5000}, now).granted;
 		expect([takeAt(0), takeAt(100), takeAt(windowMs), takeAt(windowMs + 1000)]).toEqual([5000, 0, 0, 5000]);
 	});
 
-	it('is the same for all that know the same hosts, and another one for other workspaces', () => {
+	it('is the same for all hosts with the same members and differs between workspaces', () => {
 		const hosts = Array.from({length: 30}, (_, index) => `host-${index}`);
 		expect(rankKeepers('a', hosts)).toEqual(rankKeepers('a', [...hosts].toReversed()));
 		const keepers = new Set(Array.from({length: 16}, (_, index) => rankKeepers(`workspace-${index}`, hosts)[0]));
 		expect(keepers.size > 8).toEqual(true);
 	});
 
-	it('deals out less where hosts are not heard, and little in another\'s place', () => {
+	it('grants a smaller share when hosts are unreachable or as a stand-in', () => {
 		expect([shareOf(88, 88), shareOf(80, 88), shareOf(44, 88), shareOf(0, 0)]).toEqual([1, 10 / 11, 0.5, 0]);
 		expect(standInShare < 0.5).toEqual(true);
 	});
