--- a/packages/policy/src/relay/rate-granter.ts
+++ b/packages/policy/src/relay/rate-granter.ts
@@ -1,38 +1,38 @@
 /**
- * Grants permits for rate-limited endpoints from the shares that hosts lend
- * it. A permit allows one request, for a second from the instant it was
- * asked for.
+ * Grants permits for rate-limited endpoints from token buckets that fill in
+ * proportion to the shares lent by hosts. A permit allows one request, within
+ * one second of being requested.
  *
  * Safety: an endpoint with limit L receives at most 5 L + 4 requests in any
  * 4 s. Tokens accrue at L times the shares held, and the shares of all
- * granters add up to one at most (rate-share.ts), so 4 L tokens accrue in 4 s
- * in the whole fleet. Permits from up to a second before may be used besides,
- * L more. Tokens saved up are at most 2 at one granter; a granter needs a
- * quarter of all shares, so there are at most four, and where there are more
- * than one each saves 1 or twice its share: 4 in all. None of this rests on
- * who is thought to be alive; what is lost with a granter only costs rate.
+ * granters add up to at most one (rate-share.ts), which gives 4 L. Permits
+ * granted up to a second earlier add L. A granter needs a quarter of all
+ * shares, so there are at most four; a single one accumulates at most 2
+ * tokens, several accumulate 1 or twice their share each, at most 4 in total.
+ * The bound does not depend on failure detection; losing a granter only
+ * reduces the rate.
  */
 import {shareLifeMs} from './rate-share.js';
 
-/** Least part of all shares with which permits are granted: bounds the number of granters, and so the tokens that they save up. */
-const leastShare = 0.25;
-/** Tokens saved up by a granter that holds all shares: lets requests in that come together by chance. */
-const mostTokens = 2;
-/** Longest time that one refill covers, in milliseconds: a granter that was paused does not catch up. */
-const mostRefillMs = 1000;
-/** Least limit that is applied, in requests a second: an endpoint that receives nothing could never raise or end its limit. */
-const leastPerS = 0.1;
-/** Longest time after which a host that got nothing asks again, in milliseconds: the limit may have been raised since. */
-const mostWaitMs = 1000;
-/** Time after which to ask a granter that holds too few shares, in milliseconds. */
-const noShareWaitMs = 250;
+/** Minimum share to grant permits: bounds the number of granters, and with it the accumulated tokens. */
+const minShare = 0.25;
+/** Bucket capacity of a granter that holds all shares: absorbs coinciding requests. */
+const bucketCapacity = 2;
+/** Maximum time that one refill covers, in milliseconds: a granter that was paused does not catch up. */
+const maxRefillMs = 1000;
+/** Minimum limit, in requests per second: an endpoint that receives nothing could never raise or remove its limit. */
+const minLimitPerS = 0.1;
+/** Maximum retry time of a host that got nothing, in milliseconds: the limit may have been raised since. */
+const maxRetryMs = 1000;
+/** Retry time while the granter holds too few shares, in milliseconds. */
+const noShareRetryMs = 250;
 const millisecondsPerSecond = 1000;
 
-/** The answer to one question. */
+/** Answer to a request for permits. */
 export type RateGrant = {
-	/** Permits. */
+	/** Number of permits. */
 	readonly granted: number;
-	/** Time until the next question makes sense, where there are none. */
+	/** Time until the host should retry, in milliseconds; 0 if permits were granted. */
 	readonly waitMs: number;
 };
 
@@ -45,20 +45,20 @@
 	tokens: number;
 	refilledAt: number;
 	perS: number;
-	/** Until when the tokens that accrue are promised to hosts that have a turn. */
-	promisedUntil: number;
+	/** Time until which accruing tokens are reserved for hosts with an assigned retry time. */
+	reservedUntil: number;
 };
 
-/** The granter's side, at one host. */
+/** Grants permits on one host; times are in milliseconds. */
 export class RateGranter {
-	/** By host. */
+	/** Shares lent to this granter, by host. */
 	readonly #loans = new Map<string, Loan>();
 	readonly #buckets = new Map<string, Bucket>();
-	/** When each round of requests for shares was sent. */
+	/** Send time of each round of requests for shares. */
 	readonly #rounds = new Map<number, number>();
-	#opened = 0;
+	#lastRound = 0;
 
-	/** Begins a round of requests for shares; returns its number, which each loan quotes. */
+	/** Starts a round of requests for shares. Returns its number, which the answers repeat. */
 	openRound(now: number): number {
 		for (const [round, sentAt] of this.#rounds) {
 			if (now - sentAt >= shareLifeMs) {
@@ -66,12 +66,12 @@
 			}
 		}
 
-		this.#opened += 1;
-		this.#rounds.set(this.#opened, now);
-		return this.#opened;
+		this.#lastRound += 1;
+		this.#rounds.set(this.#lastRound, now);
+		return this.#lastRound;
 	}
 
-	/** Takes a host's share. It counts from the round's begin, which lies before the instant at which the host lent it, so that it lapses here first. */
+	/** Records a share lent by a host. Its lifetime starts when the round was sent, before the host lent it, so that it expires here first. */
 	receive(host: string, round: number, share: number, now: number): void {
 		const sentAt = this.#rounds.get(round);
 		const known = this.#loans.get(host);
@@ -83,7 +83,7 @@
 		this.#loans.set(host, {share, until: sentAt + shareLifeMs});
 	}
 
-	/** Part of all shares that is held now. */
+	/** Returns the sum of the unexpired shares, from 0 to 1. */
 	share(now: number): number {
 		let sum = 0;
 		for (const [host, {share, until}] of this.#loans) {
@@ -97,25 +97,25 @@
 		return Math.min(1, sum);
 	}
 
-	/** Grants up to `wanted` permits for an endpoint with a limit. */
+	/** Grants up to `wanted` permits for an endpoint limited to `limitPerS` requests per second. */
 	take(endpoint: string, limitPerS: number, wanted: number, now: number): RateGrant {
 		const share = this.share(now);
-		const bucket = this.#bucketOf(endpoint, Math.max(leastPerS, limitPerS), now);
+		const bucket = this.#bucketOf(endpoint, Math.max(minLimitPerS, limitPerS), now);
 		this.#refill(now);
-		if (share < leastShare) {
-			return {granted: 0, waitMs: noShareWaitMs};
+		if (share < minShare) {
+			return {granted: 0, waitMs: noShareRetryMs};
 		}
 
 		const granted = Math.min(wanted, Math.floor(bucket.tokens));
 		if (granted <= 0) {
-			return {granted: 0, waitMs: promiseTurn(bucket, share, now)};
+			return {granted: 0, waitMs: assignRetry(bucket, share, now)};
 		}
 
 		bucket.tokens -= granted;
 		return {granted, waitMs: 0};
 	}
 
-	/** Forgets an endpoint whose limit has ended. */
+	/** Removes the bucket of an endpoint that is no longer limited. */
 	forget(endpoint: string): void {
 		this.#buckets.delete(endpoint);
 	}
@@ -124,7 +124,7 @@
 		let bucket = this.#buckets.get(endpoint);
 		if (bucket === undefined) {
 			bucket = {
-				tokens: 0, refilledAt: now, perS, promisedUntil: Number.NEGATIVE_INFINITY,
+				tokens: 0, refilledAt: now, perS, reservedUntil: Number.NEGATIVE_INFINITY,
 			};
 			this.#buckets.set(endpoint, bucket);
 		}
@@ -132,28 +132,28 @@
 		if (bucket.perS !== perS) {
 			this.#refill(now);
 			bucket.perS = perS;
-			bucket.promisedUntil = Number.NEGATIVE_INFINITY;
+			bucket.reservedUntil = Number.NEGATIVE_INFINITY;
 		}
 
 		return bucket;
 	}
 
-	/** Shares only shrink between two refills, so the one at the end is the least. */
+	/** Refills all buckets. The current share applies to the whole interval: between refills shares only expire, so it is the minimum. */
 	#refill(now: number): void {
 		const share = this.share(now);
-		const most = share < leastShare ? 0 : Math.max(1, mostTokens * share);
+		const capacity = share < minShare ? 0 : Math.max(1, bucketCapacity * share);
 		for (const bucket of this.#buckets.values()) {
-			const elapsedMs = Math.min(mostRefillMs, now - bucket.refilledAt);
-			bucket.tokens = Math.min(most, bucket.tokens + (elapsedMs * share * bucket.perS / millisecondsPerSecond));
+			const elapsedMs = Math.min(maxRefillMs, now - bucket.refilledAt);
+			bucket.tokens = Math.min(capacity, bucket.tokens + (elapsedMs * share * bucket.perS / millisecondsPerSecond));
 			bucket.refilledAt = now;
 		}
 	}
 }
 
-/** Gives each host that gets nothing a turn of its own, so that they do not all come back for the same token. */
-function promiseTurn(bucket: Bucket, share: number, now: number): number {
+/** Assigns each host that gets nothing its own retry time, so that hosts do not compete for the same token. */
+function assignRetry(bucket: Bucket, share: number, now: number): number {
 	const tokenMs = millisecondsPerSecond / (share * bucket.perS);
-	const next = bucket.promisedUntil > now ? bucket.promisedUntil + tokenMs : now + ((1 - bucket.tokens) * tokenMs);
-	bucket.promisedUntil = Math.min(next, now + mostWaitMs);
-	return Math.max(1, bucket.promisedUntil - now);
+	const next = bucket.reservedUntil > now ? bucket.reservedUntil + tokenMs : now + ((1 - bucket.tokens) * tokenMs);
+	bucket.reservedUntil = Math.min(next, now + maxRetryMs);
+	return Math.max(1, bucket.reservedUntil - now);
 }
--- a/packages/policy/src/relay/rate-permits.ts
+++ b/packages/policy/src/relay/rate-permits.ts
@@ -1,64 +1,66 @@
 /**
- * One host's permits for one rate-limited endpoint. Safety: a permit is used
- * within a second of the question that brought it (rate-granter.ts), by this
- * host's steady clock, however late the answer came.
+ * One host's permits for one rate-limited endpoint.
+ * Safety: the rate bound (rate-granter.ts) relies on a permit being used
+ * within a second of its request by this host's monotonic clock, however late
+ * the answer arrives.
  */
 import {type RateGrant} from './rate-granter.js';
 
-/** Time from the question in which a permit is handed out, and in which its request leaves, in milliseconds: the difference is for opening a connection. */
-const handOutMs = 500;
+/** Time after the request in which a permit may be taken, in milliseconds; the rest of its lifetime is for opening a connection. */
+const takeWithinMs = 500;
+/** Time after the request in which a permit must be used, in milliseconds. */
 export const permitLifeMs = 1000;
-/** Time for which a busy host asks ahead, in milliseconds: less than that in which a permit is handed out, so that few lapse. */
-const aheadMs = 200;
-/** Time over which demand is averaged, in milliseconds. */
-const averageMs = 1000;
+/** Expected demand that a request for permits covers, in milliseconds: less than the time in which a permit may be taken, so that few expire. */
+const prefetchMs = 200;
+/** Time constant of the average demand, in milliseconds. */
+const averagingMs = 1000;
 
-/** Leave to send one request. */
+/** Permission to send one request. */
 export type Permit = {
-	/** When the first byte has to have left, at the latest. */
+	/** Deadline for sending the first byte, in milliseconds. */
 	readonly leaveBy: number;
 };
 
-/** A permit where nothing limits the endpoint. */
+/** Permit for an endpoint without a rate limit. */
 export const unlimited: Permit = {leaveBy: Number.POSITIVE_INFINITY};
 
-/** Permits in hand. */
+/** Unused permits and the average demand; times are in milliseconds. */
 export class RatePermits {
 	#permits: Permit[] = [];
 	#demand = 0;
 	#demandAt = 0;
 
-	/** Notes a request for the endpoint. */
+	/** Records a request for the endpoint. */
 	noteDemand(now: number): void {
-		this.#demand = this.#averaged(now) + 1;
+		this.#demand = this.#averageDemand(now) + 1;
 		this.#demandAt = now;
 	}
 
-	/** Hands out a permit, where one is left. */
+	/** Takes a permit, or returns undefined if none is left. */
 	take(now: number): Permit | undefined {
-		this.#permits = this.#permits.filter(({leaveBy}) => leaveBy - now > permitLifeMs - handOutMs);
+		this.#permits = this.#permits.filter(({leaveBy}) => leaveBy - now > permitLifeMs - takeWithinMs);
 		return this.#permits.shift();
 	}
 
-	/** Permits to ask for while so many requests wait. */
+	/** Returns the number of permits to request for `waiting` requests and the expected demand. */
 	wanted(waiting: number, now: number): number {
-		return waiting + Math.floor(this.#averaged(now) * aheadMs / averageMs);
+		return waiting + Math.floor(this.#averageDemand(now) * prefetchMs / averagingMs);
 	}
 
-	/** Takes the granter's answer to a question. */
+	/** Adds the permits of an answer to a request made at `askedAt`. */
 	receive({granted}: RateGrant, askedAt: number): void {
 		for (let index = 0; index < granted; index += 1) {
 			this.#permits.push({leaveBy: askedAt + permitLifeMs});
 		}
 	}
 
-	/** Takes a permit back that was not used. */
+	/** Returns an unused permit. */
 	giveBack(permit: Permit): void {
 		this.#permits.unshift(permit);
 	}
 
-	/** Requests in the last second. */
-	#averaged(now: number): number {
-		return this.#demand * Math.exp((this.#demandAt - now) / averageMs);
+	/** Average number of requests per second. */
+	#averageDemand(now: number): number {
+		return this.#demand * Math.exp((this.#demandAt - now) / averagingMs);
 	}
 }
--- a/packages/policy/src/relay/rate-share.ts
+++ b/packages/policy/src/relay/rate-share.ts
@@ -1,26 +1,27 @@
 /**
- * One host's part of every rate limit. Each of n hosts owns 1/n and lends it
- * to the host that grants permits (rate-granter.ts). Safety: at any time at
- * most one granter holds a host's share, so that the shares of all granters
- * add up to one at most, whatever hosts think of each other.
+ * One host's share of every rate limit. Each of n hosts owns 1/n and lends it
+ * to the host that grants permits (rate-granter.ts).
+ * Safety: the rate bound relies on at most one granter holding a host's share
+ * at any time, so that all shares add up to at most one, whatever hosts know
+ * about each other.
  */
 import {type Owner} from '@gatehead/schema/engine-protocol';
 
-/** Time for which a granter may spend a share, in milliseconds: two rounds may be lost before it lapses. */
+/** Lifetime of a lent share, in milliseconds: it survives two lost rounds. */
 export const shareLifeMs = 2500;
 
-/** Who holds a host's share. */
+/** Tracks which granter holds this host's share. */
 export class RateShare {
 	readonly #startedAt: number;
 	#holder: Owner | undefined;
 	#heldUntil = Number.NEGATIVE_INFINITY;
 
-	/** The process started at `startedAt`; its predecessor may have lent the share until a share's life later. */
+	/** `startedAt` is the start of this process, in milliseconds; a share lent by its predecessor may be valid for one lifetime after that. */
 	constructor(startedAt: number) {
 		this.#startedAt = startedAt;
 	}
 
-	/** Lends the share, unless another process may still spend it. */
+	/** Lends the share to a granter. Returns false if another process may still hold it. */
 	lend(granter: Owner, now: number): boolean {
 		if (now - this.#startedAt < shareLifeMs || (now < this.#heldUntil && !this.#isSuccessor(granter))) {
 			return false;
@@ -31,7 +32,7 @@
 		return true;
 	}
 
-	/** Whether a granter is the holder, or a later process on its host: what the earlier one held is gone with its memory. */
+	/** Whether a granter is the holder or a later process on the holder's host, since a restart loses all shares. */
 	#isSuccessor({host, incarnation}: Owner): boolean {
 		return this.#holder !== undefined && this.#holder.host === host && this.#holder.incarnation <= incarnation;
 	}
