--- a/packages/policy/src/relay/reading-limit.test.ts
+++ b/packages/policy/src/relay/reading-limit.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: how long a prompt's reading may be expected to take. */
+/** A prefill must not move to a decode replica while waiting for a prefill replica is cheaper. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {mostReadingMs, type ReadingWish} from './reading-limit.js';
@@ -10,20 +10,20 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'half the target at first', targetMs: 900, leftMs: 900, isReturned: false, mostMs: 450,
+		name: 'allows half the target at first', targetMs: 900, leftMs: 900, isReturned: false, mostMs: 450,
 	},
 	{
-		name: 'what a request that has waited still has', targetMs: 900, leftMs: 400, isReturned: false, mostMs: 300,
+		name: 'allows only the remaining time after a wait', targetMs: 900, leftMs: 400, isReturned: false, mostMs: 300,
 	},
 	{
-		name: 'a request that is late holds up no streams', targetMs: 900, leftMs: 80, isReturned: false, mostMs: 900,
+		name: 'allows the whole target for a late request', targetMs: 900, leftMs: 80, isReturned: false, mostMs: 900,
 	},
 	{
-		name: 'nor does a caller that comes back', targetMs: 900, leftMs: 900, isReturned: true, mostMs: 900,
+		name: 'allows the whole target for a retry', targetMs: 900, leftMs: 900, isReturned: true, mostMs: 900,
 	},
 ];
 
-describe('reading limit', () => {
+describe('prefill wait limit', () => {
 	for (const {name, mostMs, ...wish} of cases) {
 		it(name, () => {
 			expect(mostReadingMs(wish)).toEqual(mostMs);
--- a/packages/policy/src/relay/reading-limit.ts
+++ b/packages/policy/src/relay/reading-limit.ts
@@ -1,27 +1,28 @@
 /**
- * How long a request waits for a prefill replica before its decode replica
- * reads the prompt itself. Efficiency: a decode replica that reads holds up
- * its own streams, some ten of them.
+ * Limits how long a request waits for a prefill replica before its decode
+ * replica computes the prefill itself, which stalls the streams that the
+ * decode replica is serving.
  */
 
-/** Share of the target that a timely request's prompt may be expected to take: the rest is for its wait and its first steps. */
-const timelyShare = 0.5;
-/** The same for a request that is late in any case: beyond it its caller's patience is at stake. */
-const lateShare = 1;
-/** Time from a prompt's result to the first event, in milliseconds: the move of the memory and the first steps. */
+/** Fraction of the target for the prefill of a request that can still be in time; the rest is for waiting and the first decode steps. */
+const onTimeFraction = 0.5;
+/** Fraction of the target for the prefill of a request that is late anyway; a longer wait risks the caller's timeout. */
+const lateFraction = 1;
+/** Time from the end of prefill to the first event, in milliseconds: KV cache transfer and the first decode steps. */
 const firstStepsMs = 100;
 
-/** What the limit depends on. */
+/** Input of the limit. */
 export type ReadingWish = {
+	/** Target time to the first event, in milliseconds. */
 	readonly targetMs: number;
 	/** Time until the target, in milliseconds. */
 	readonly leftMs: number;
-	/** The caller was refused before, or wants the rest of a stream. */
+	/** The caller is retrying after a rejection, or resuming a stream. */
 	readonly isReturned: boolean;
 };
 
-/** Longest time that a prompt's reading may be expected to take, in milliseconds. */
+/** Returns the maximum expected prefill time, including the queue, in milliseconds. */
 export function mostReadingMs({targetMs, leftMs, isReturned}: ReadingWish): number {
-	const timelyMs = leftMs - firstStepsMs;
-	return isReturned || timelyMs <= 0 ? lateShare * targetMs : Math.min(timelyShare * targetMs, timelyMs);
+	const availableMs = leftMs - firstStepsMs;
+	return isReturned || availableMs <= 0 ? lateFraction * targetMs : Math.min(onTimeFraction * targetMs, availableMs);
 }
--- a/packages/policy/src/relay/reading-queue.test.ts
+++ b/packages/policy/src/relay/reading-queue.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: how long a prompt is expected to take at a prefill replica. */
+/** Estimated prefill times must follow reported prompts, unreported delays and the engine's speed. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {seedRandom} from '../utils/random.js';
@@ -6,50 +6,50 @@
 
 const empty = new ReadingQueue().expect(1000, 0);
 
-describe('reading queue', () => {
-	it('prompts of other hosts are ahead', () => {
+describe('prefill queue', () => {
+	it('includes prompts of other hosts', () => {
 		const queue = new ReadingQueue();
 		queue.add(2000, 0);
 		expect(queue.expect(1000, 0) - empty).toEqual(70);
 	});
 
-	it('the queue is read as time goes by', () => {
+	it('shrinks over time', () => {
 		const queue = new ReadingQueue();
 		queue.add(2000, 0);
 		expect(queue.expect(1000, 100)).toEqual(empty);
 	});
 
-	it('an own prompt that is overdue shows a queue that nobody told of', () => {
+	it('infers an unreported queue from an overdue prompt', () => {
 		const queue = new ReadingQueue();
 		queue.begin(1000, 0);
 		expect(queue.expect(1000, 500)).toEqual(empty + 500 - empty);
 	});
 
-	it('a prompt that came to nothing shows none', () => {
+	it('infers nothing from an abandoned prompt', () => {
 		const queue = new ReadingQueue();
 		queue.abandon(queue.begin(1000, 0));
 		expect(queue.expect(1000, 500)).toEqual(empty);
 	});
 
-	it('a delay that nobody told of is supposed to meet the next prompt', () => {
+	it('expects an unreported delay to affect the next prompt', () => {
 		const queue = new ReadingQueue();
 		queue.finish(queue.begin(1000, 0), 600);
 		expect(queue.expect(1000, 600) > empty + 300).toEqual(true);
 	});
 
-	it('a refusal means a full replica', () => {
+	it('assumes a full replica after a rejection', () => {
 		const queue = new ReadingQueue();
 		queue.refuse(0);
 		expect(queue.expect(1000, 0)).toEqual(empty + 500);
 	});
 
-	it('a replica that decodes takes longer for a token', () => {
+	it('scales the time per token of a slower replica', () => {
 		expect(new ReadingQueue(2).expect(1000, 0) - empty).toEqual(35);
 	});
 
 	const speeds = [
-		{name: 'a fast engine is learned', tokenMs: 0.01, offsetMs: 20},
-		{name: 'a slow one too', tokenMs: 0.12, offsetMs: 200},
+		{name: 'learns the speed of a fast engine', tokenMs: 0.01, offsetMs: 20},
+		{name: 'learns the speed of a slow engine', tokenMs: 0.12, offsetMs: 200},
 	];
 	for (const {name, tokenMs, offsetMs} of speeds) {
 		it(name, () => {
@@ -67,8 +67,8 @@
 	}
 
 	const lengths = [
-		{name: 'prompts of one length leave the time for a token as it was', tokens: 3000, count: 20_000},
-		{name: 'so do prompts without a length', tokens: 0, count: 20_000},
+		{name: 'keeps the time per token when all prompts have the same length', tokens: 3000, count: 20_000},
+		{name: 'keeps the time per token when prompts have no length', tokens: 0, count: 20_000},
 	];
 	for (const {name, tokens, count} of lengths) {
 		it(name, () => {
--- a/packages/policy/src/relay/reading-queue.ts
+++ b/packages/policy/src/relay/reading-queue.ts
@@ -1,38 +1,37 @@
 /**
- * When a replica will have read what is on its way to it: prompts are read
- * one after the other, so the sum of what all hosts sent is its queue. At a
- * prefill replica those are all prompts, at a decode replica those that it
- * has to read itself. Prompts of this host that are overdue show a queue that
- * was not heard of. Efficiency: news of other hosts' prompts may be late or
- * lost.
+ * Estimates the prefill queue of a replica. Prompts are processed one after
+ * the other, so the queue is the sum of what all hosts sent: all prompts at a
+ * prefill replica, and at a decode replica those that it prefills itself.
+ * Overdue prompts of this host reveal a queue that was not reported, since
+ * reports of other hosts' prompts may be late or lost.
  */
 
-/** What is supposed until prompts were read, in milliseconds: time for a prompt's token, and the time that a prompt takes besides. */
-const firstTokenMs = 0.035;
-/** The second of them, in milliseconds. */
-const firstOffsetMs = 65;
-/** Lengths of the two imagined prompts that stand for these, in tokens: a short and a long one. */
-const imaginedTokens: readonly number[] = [500, 5000];
-/** Readings for which each of them counts at first: a few real ones outweigh both. */
-const imaginedWeight = 2;
-/** What a reading still counts when the next one is noted: about forty make the line. */
-const memory = 0.975;
-/** Most by which a reading without a queue may surpass what was expected and still count, in milliseconds: beyond it somebody's prompt was in the way. */
-const mostOffsetMs = 300;
-/** Least spread of the prompts' lengths from which a time for a token can be read, as a share of their mean: with less it is a matter of chance. */
-const leastSpread = 0.1;
-/** The same in tokens, for prompts that are all short or say no length: a block of memory. */
-const leastSpreadTokens = 16;
-/** Least time for a prompt's token, in milliseconds: a million tokens a second are beyond any engine at hand. */
-const leastTokenMs = 0.001;
-/** Queue up to which an observation says something about that time, in milliseconds: a tenth of a usual reading. */
+/** Initial prefill time per token, in milliseconds. */
+const initialTokenMs = 0.035;
+/** Initial fixed prefill time per prompt, in milliseconds. */
+const initialOffsetMs = 65;
+/** Lengths of the two synthetic prompts that represent the initial estimate, in tokens. */
+const priorTokens: readonly number[] = [500, 5000];
+/** Initial weight of each synthetic prompt, in observations. */
+const priorWeight = 2;
+/** Decay of earlier observations at each new one: about forty determine the fit. */
+const decay = 0.975;
+/** Cap on the excess of an observation over the expected time, in milliseconds; the rest is attributed to an unreported prompt. */
+const maxExcessMs = 300;
+/** Minimum standard deviation of the prompt lengths to fit the time per token, as a fraction of their mean. */
+const minSpread = 0.1;
+/** Minimum standard deviation in tokens, for prompts that are all short or of unknown length: one block of KV cache. */
+const minSpreadTokens = 16;
+/** Minimum prefill time per token, in milliseconds: no engine processes a million tokens per second. */
+const minTokenMs = 0.001;
+/** Longest queue with which an observation is used for the fit, in milliseconds. */
 const emptyMs = 20;
-/** Part of a delay that nobody announced and that is supposed to meet the next prompt too: some of it is read by then. */
-const delayShare = 0.8;
-/** Queue that is supposed at a replica that refused a prompt, in milliseconds: about ten prompts fill its memory. */
-const refusedMs = 500;
+/** Fraction of an unreported delay that is expected to remain for the next prompt. */
+const remainingDelayFraction = 0.8;
+/** Assumed queue of a replica that rejected a prompt, in milliseconds: about ten prompts fill its memory. */
+const rejectedQueueMs = 500;
 
-/** A prompt of this host on its way. */
+/** A prompt that this host sent; times are in milliseconds. */
 export type Reading = {
 	readonly tokens: number;
 	readonly sentAt: number;
@@ -40,33 +39,33 @@
 	readonly expectedMs: number;
 };
 
-/** The queue of one replica. */
+/** Estimated prefill queue of one replica; times are in milliseconds. */
 export class ReadingQueue {
 	readonly #own = new Set<Reading>();
-	readonly #line: ReadingLine;
+	readonly #fit: PrefillTimeFit;
 	#idleAt = 0;
 
-	/** `slowness`: times as long as a prefill replica takes this one for a prompt's token, until it was seen. */
+	/** `slowness` is the initial prefill time per token relative to a prefill replica. */
 	constructor(slowness = 1) {
-		this.#line = new ReadingLine(slowness * firstTokenMs);
+		this.#fit = new PrefillTimeFit(slowness * initialTokenMs);
 	}
 
-	/** Time for a prompt's token, in milliseconds. */
+	/** Prefill time per token, in milliseconds. */
 	get tokenMs(): number {
-		return this.#line.tokenMs;
+		return this.#fit.tokenMs;
 	}
 
-	/** Notes a prompt that another host sends there. */
+	/** Records a prompt sent by another host. */
 	add(tokens: number, now: number): void {
 		this.#idleAt = Math.max(now, this.#idleAt) + (tokens * this.tokenMs);
 	}
 
-	/** Time until a further prompt would be read, in milliseconds. */
+	/** Returns the expected time until a new prompt is processed, in milliseconds. */
 	expect(tokens: number, now: number): number {
-		return this.#queued(now) + (tokens * this.tokenMs) + this.#line.offsetMs;
+		return this.#queued(now) + (tokens * this.tokenMs) + this.#fit.offsetMs;
 	}
 
-	/** Notes a prompt of this host that goes there. */
+	/** Records a prompt sent by this host. */
 	begin(tokens: number, now: number): Reading {
 		const reading = {
 			tokens, sentAt: now, queuedMs: this.#queued(now), expectedMs: this.expect(tokens, now),
@@ -76,29 +75,29 @@
 		return reading;
 	}
 
-	/** Notes that a prompt was read. */
+	/** Records that a prompt of this host was processed. */
 	finish(reading: Reading, now: number): void {
 		const {tokens, sentAt, queuedMs, expectedMs} = reading;
 		this.#own.delete(reading);
 		const tookMs = now - sentAt;
 		if (queuedMs < emptyMs) {
-			this.#line.note(tokens, Math.min(tookMs, expectedMs + mostOffsetMs));
+			this.#fit.note(tokens, Math.min(tookMs, expectedMs + maxExcessMs));
 		}
 
-		const unforeseenMs = tookMs - expectedMs - (tokens * this.tokenMs);
-		if (unforeseenMs > 0) {
-			this.#idleAt = Math.max(this.#idleAt, now + (delayShare * unforeseenMs));
+		const unreportedMs = tookMs - expectedMs - (tokens * this.tokenMs);
+		if (unreportedMs > 0) {
+			this.#idleAt = Math.max(this.#idleAt, now + (remainingDelayFraction * unreportedMs));
 		}
 	}
 
-	/** Notes that a prompt came to nothing. */
+	/** Removes a prompt of this host that failed or was cancelled. */
 	abandon(reading: Reading): void {
 		this.#own.delete(reading);
 	}
 
-	/** Notes that the replica had no room for a further prompt. */
+	/** Records that the replica rejected a prompt for lack of room. */
 	refuse(now: number): void {
-		this.#idleAt = Math.max(this.#idleAt, now + refusedMs);
+		this.#idleAt = Math.max(this.#idleAt, now + rejectedQueueMs);
 	}
 
 	#queued(now: number): number {
@@ -111,35 +110,35 @@
 	}
 }
 
-/** A straight line through what readings without a queue took, by their tokens; the latest count most. */
-class ReadingLine {
+/** Exponentially weighted linear fit of prefill time by prompt length, from prompts that met no queue. */
+class PrefillTimeFit {
 	tokenMs: number;
-	offsetMs = firstOffsetMs;
+	offsetMs = initialOffsetMs;
 	#weight = 0;
 	#tokens = 0;
 	#took = 0;
 	#tokensSquared = 0;
 	#tokensTook = 0;
-	/** What each imagined prompt still counts. */
-	#imagined = imaginedWeight;
+	/** Remaining weight of each synthetic prompt. */
+	#priorWeight = priorWeight;
 
 	constructor(tokenMs: number) {
 		this.tokenMs = tokenMs;
-		for (const tokens of imaginedTokens) {
-			this.#add(tokens, firstOffsetMs + (tokens * tokenMs), imaginedWeight);
+		for (const tokens of priorTokens) {
+			this.#add(tokens, initialOffsetMs + (tokens * tokenMs), priorWeight);
 		}
 	}
 
-	/** Notes a reading. */
+	/** Adds an observation. */
 	note(tokens: number, tookMs: number): void {
-		this.#weight *= memory;
-		this.#tokens *= memory;
-		this.#took *= memory;
-		this.#tokensSquared *= memory;
-		this.#tokensTook *= memory;
-		this.#imagined *= memory;
+		this.#weight *= decay;
+		this.#tokens *= decay;
+		this.#took *= decay;
+		this.#tokensSquared *= decay;
+		this.#tokensTook *= decay;
+		this.#priorWeight *= decay;
 		this.#add(tokens, tookMs, 1);
-		this.#fit();
+		this.#update();
 	}
 
 	#add(tokens: number, tookMs: number, weight: number): void {
@@ -150,31 +149,31 @@
 		this.#tokensTook += weight * tokens * tookMs;
 	}
 
-	#fit(): void {
+	#update(): void {
 		const meanTokens = this.#tokens / this.#weight;
 		const meanTook = this.#took / this.#weight;
 		if (this.#isSpread()) {
-			const spread = (this.#tokensSquared / this.#weight) - (meanTokens * meanTokens);
-			const together = (this.#tokensTook / this.#weight) - (meanTokens * meanTook);
-			// A line that falls comes from chance
-			this.tokenMs = Math.max(leastTokenMs, together / spread);
+			const variance = (this.#tokensSquared / this.#weight) - (meanTokens * meanTokens);
+			const covariance = (this.#tokensTook / this.#weight) - (meanTokens * meanTook);
+			// A negative slope is noise
+			this.tokenMs = Math.max(minTokenMs, covariance / variance);
 		}
 
-		// So does one that begins below zero
+		// So is a negative intercept
 		this.tokenMs = meanTokens > 0 ? Math.min(this.tokenMs, meanTook / meanTokens) : this.tokenMs;
 		this.offsetMs = meanTook - (meanTokens * this.tokenMs);
 	}
 
-	/** Whether the prompts seen differ enough in length; the imagined ones do not count. */
+	/** Whether the observed prompts, without the synthetic ones, differ enough in length. */
 	#isSpread(): boolean {
 		let [weight, tokens, tokensSquared] = [this.#weight, this.#tokens, this.#tokensSquared];
-		for (const imagined of imaginedTokens) {
-			weight -= this.#imagined;
-			tokens -= this.#imagined * imagined;
-			tokensSquared -= this.#imagined * imagined * imagined;
+		for (const prior of priorTokens) {
+			weight -= this.#priorWeight;
+			tokens -= this.#priorWeight * prior;
+			tokensSquared -= this.#priorWeight * prior * prior;
 		}
 
 		const mean = tokens / weight;
-		return (tokensSquared / weight) - (mean * mean) > Math.max(leastSpreadTokens, leastSpread * mean) ** 2;
+		return (tokensSquared / weight) - (mean * mean) > Math.max(minSpreadTokens, minSpread * mean) ** 2;
 	}
 }
