--- a/packages/policy/src/relay/release-rate.ts
+++ b/packages/policy/src/relay/release-rate.ts
@@ -1,48 +1,48 @@
 /**
- * How often decode memory for one more request comes free at a service, from
- * what this host's own requests took and how long they held it. Efficiency.
+ * Estimates how often a service frees decode memory for another request, from
+ * the memory that this host's requests took and how long they held it.
  */
 
-/** Weight of a new observation: about a dozen requests make the mean, a second or two of a host's share under load. */
+/** Weight of a new observation: the average covers about a dozen requests. */
 const weight = 0.08;
-/** What is supposed until requests have ended: a prompt of some thousand tokens, answered within seconds. About thirty requests replace it. */
-const firstTokens = 3800;
-/** The time for which it holds its memory, in milliseconds. */
-const firstHoldMs = 3300;
-/** A replica's memory, in tokens. */
-const firstCapacity = 35_000;
+/** Initial memory per request, in tokens. */
+const initialTokens = 3800;
+/** Initial time for which a request holds its memory, in milliseconds. */
+const initialHoldMs = 3300;
+/** Initial memory of a replica, in tokens. */
+const initialCapacity = 35_000;
 const millisecondsPerSecond = 1000;
 
-/** The rate of one service. */
+/** Release rate of one service. */
 export class ReleaseRate {
-	#tokens = firstTokens;
-	#holdMs = firstHoldMs;
-	#capacity = firstCapacity;
+	#tokens = initialTokens;
+	#holdMs = initialHoldMs;
+	#capacity = initialCapacity;
 	#seen = 0;
 
-	/** Time for which a request holds its memory, in milliseconds. */
+	/** Average time for which a request holds its memory, in milliseconds. */
 	get holdMs(): number {
 		return this.#holdMs;
 	}
 
-	/** Requests that ended. */
+	/** Number of completed requests. */
 	get seen(): number {
 		return this.#seen;
 	}
 
-	/** Notes a request that ended. */
+	/** Records a completed request: its memory in tokens and how long it held it, in milliseconds. */
 	note(tokens: number, heldMs: number): void {
 		this.#seen += 1;
 		this.#tokens += weight * (tokens - this.#tokens);
 		this.#holdMs += weight * (heldMs - this.#holdMs);
 	}
 
-	/** Takes over the memory of one replica, in tokens. */
+	/** Sets the memory of one replica, in tokens; 0 is ignored. */
 	setCapacity(capacity: number): void {
 		this.#capacity = capacity > 0 ? capacity : this.#capacity;
 	}
 
-	/** Places that come free a second at so many full replicas. */
+	/** Returns how many requests' memory is freed per second on `replicas` full replicas. */
 	perSecond(replicas: number): number {
 		return Math.max(1, replicas) * (this.#capacity / this.#tokens) * millisecondsPerSecond / this.#holdMs;
 	}
--- a/packages/policy/src/relay/retry-after.test.ts
+++ b/packages/policy/src/relay/retry-after.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: the time after which a rejected caller should retry. */
+/** Rejected callers must not retry all at once, nor be asked for a wait that they ignore. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {type Random} from '../utils/random.js';
@@ -17,16 +17,16 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'the wanted time where the caller honours it', wantedMs: 3000, leftMs: 14_000, random: middle, afterMs: 3000,
+		name: 'uses the wanted time if the caller has enough left', wantedMs: 3000, leftMs: 14_000, random: middle, afterMs: 3000,
 	},
 	{
-		name: 'callers do not return together', wantedMs: 3000, leftMs: 14_000, random: lowest, afterMs: 2700,
+		name: 'adds jitter', wantedMs: 3000, leftMs: 14_000, random: lowest, afterMs: 2700,
 	},
 	{
-		name: 'a caller with little time is asked for a third of it', wantedMs: 3000, leftMs: 4000, random: middle, afterMs: 1320,
+		name: 'limits the time to a third of the remaining time', wantedMs: 3000, leftMs: 4000, random: middle, afterMs: 1320,
 	},
 	{
-		name: 'one without time is not asked to wait', wantedMs: 3000, leftMs: -5, random: middle, afterMs: 0,
+		name: 'returns zero without remaining time', wantedMs: 3000, leftMs: -5, random: middle, afterMs: 0,
 	},
 ];
 
@@ -42,23 +42,23 @@
 
 const waitCases: readonly Case[] = [
 	{
-		name: 'at the instant itself at the earliest', wantedMs: 3000, leftMs: 14_000, random: lowest, afterMs: 3000,
+		name: 'does not retry before the endpoint accepts requests', wantedMs: 3000, leftMs: 14_000, random: lowest, afterMs: 3000,
 	},
 	{
-		name: 'spread over a second at the most', wantedMs: 3000, leftMs: 14_000, random: middle, afterMs: 3500,
+		name: 'spreads retries over at most a second', wantedMs: 3000, leftMs: 14_000, random: middle, afterMs: 3500,
 	},
 	{
-		name: 'spread over the wait where that is shorter', wantedMs: 200, leftMs: 14_000, random: middle, afterMs: 300,
+		name: 'spreads retries over a shorter wait', wantedMs: 200, leftMs: 14_000, random: middle, afterMs: 300,
 	},
 	{
-		name: 'within a third of the time left', wantedMs: 3000, leftMs: 3000, random: middle, afterMs: 990,
+		name: 'limits the time to a third of the remaining time', wantedMs: 3000, leftMs: 3000, random: middle, afterMs: 990,
 	},
 	{
-		name: 'never at once', wantedMs: 1, leftMs: 3000, random: lowest, afterMs: 20,
+		name: 'never retries immediately', wantedMs: 1, leftMs: 3000, random: lowest, afterMs: 20,
 	},
 ];
 
-describe('retry at an endpoint that takes requests again', () => {
+describe('retry after an endpoint\'s wait', () => {
 	for (const {name, wantedMs, leftMs, random, afterMs} of waitCases) {
 		it(name, () => {
 			expect(Math.round(retryAfterWait(wantedMs, leftMs, random))).toEqual(afterMs);
