--- a/packages/policy/src/relay/retry-budget.test.ts
+++ b/packages/policy/src/relay/retry-budget.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: second sends stay within the bound that all hosts share. */
+/** Extra sends of all hosts together must stay within the bound of any window. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import fc from 'fast-check';
@@ -10,23 +10,23 @@
 	readonly name: string;
 	readonly hosts: number;
 	readonly requests: number;
-	/** Time between the requests and the asking. */
+	/** Time from the requests to the extra sends. */
 	readonly laterMs: number;
 	readonly granted: number;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'a host that stands alone has the whole allowance, less caution', hosts: 1, requests: 0, laterMs: 0, granted: 30,
+		name: 'gives a single host the whole allowance, less the margin', hosts: 1, requests: 0, laterMs: 0, granted: 30,
 	},
 	{
-		name: 'ten hosts share it', hosts: 10, requests: 0, laterMs: 0, granted: 3,
+		name: 'divides the allowance among ten hosts', hosts: 10, requests: 0, laterMs: 0, granted: 3,
 	},
 	{
-		name: 'requests add their share', hosts: 10, requests: 100, laterMs: 0, granted: 18,
+		name: 'adds a fraction of the requests', hosts: 10, requests: 100, laterMs: 0, granted: 18,
 	},
 	{
-		name: 'requests of an earlier window do not', hosts: 10, requests: 100, laterMs: 11_100, granted: 3,
+		name: 'ignores requests of an earlier window', hosts: 10, requests: 100, laterMs: 11_100, granted: 3,
 	},
 ];
 
@@ -51,7 +51,7 @@
 		});
 	}
 
-	it('in no window do all hosts together go beyond the bound', () => {
+	it('keeps the bound of all hosts together in any window', () => {
 		const step = fc.record({host: fc.nat({max: 4}), waitMs: fc.nat({max: 900}), isRequest: fc.boolean()});
 		fc.assert(fc.property(fc.array(step, {maxLength: 400}), steps => {
 			const budgets = Array.from({length: 5}, () => new RetryBudget(rule, () => 5));
--- a/packages/policy/src/relay/retry-budget.ts
+++ b/packages/policy/src/relay/retry-budget.ts
@@ -1,91 +1,91 @@
 /**
- * How many sends beyond the first of each request one host may make. All
- * hosts share one bound a service: a share of the requests in a window, and
- * a fixed allowance, of which each host takes its part. Safety of the bound
- * rests on every host staying within its own part; the number of hosts is a
- * guess that is rounded up.
+ * Limits one host's extra sends, meaning those beyond the first of each
+ * request. The bound of a service is shared by all hosts: a fraction of the
+ * requests in a window, plus a fixed allowance that is divided among the hosts.
+ * Safety: the bound relies on every host staying within its own share, based
+ * on an upper estimate of the number of hosts.
  */
 
-/** Steps that a window is counted in: the bound holds in any window, to a tenth of it. */
-const steps = 10;
-/** Part of the whole bound that is used, so that a wrong count of hosts and requests on their way break nothing. */
-const caution = 0.75;
+/** Buckets per window: the window's length is accurate to a tenth. */
+const bucketCount = 10;
+/** Fraction of the bound that is used, as a margin for a wrong host count and requests in flight. */
+const safetyFactor = 0.75;
 
-/** The bound of all hosts together. */
+/** Bound for all hosts together. */
 export type RetryRule = {
-	/** Extra sends for each request of the window. */
+	/** Extra sends allowed per request in the window. */
 	readonly ratio: number;
-	/** Extra sends allowed besides, in one window, by all hosts together. */
+	/** Additional extra sends allowed per window, for all hosts together. */
 	readonly allowance: number;
 	readonly windowMs: number;
 };
 
-type Step = {
+type Bucket = {
 	readonly index: number;
 	requests: number;
 	extras: number;
 };
 
-/** One service's budget at one host. */
+/** One service's budget on one host; times are in milliseconds. */
 export class RetryBudget {
 	readonly #rule: RetryRule;
 	readonly #countHosts: () => number;
-	#steps: Step[] = [];
+	#buckets: Bucket[] = [];
 
 	constructor(rule: RetryRule, countHosts: () => number) {
 		this.#rule = rule;
 		this.#countHosts = countHosts;
 	}
 
-	/** Notes a request's arrival. */
+	/** Records a new request. */
 	arrive(now: number): void {
-		this.#stepAt(now).requests += 1;
+		this.#bucketAt(now).requests += 1;
 	}
 
-	/** Takes one extra send out of the budget, or says that none is left. */
+	/** Spends one extra send. Returns false if none is left. */
 	take(now: number): boolean {
 		if (this.left(now) < 1) {
 			return false;
 		}
 
-		this.#stepAt(now).extras += 1;
+		this.#bucketAt(now).extras += 1;
 		return true;
 	}
 
-	/** Notes an extra send that happened without asking, as one that an endpoint turned away. */
+	/** Records an extra send that was made without checking the budget, for example after an endpoint's rejection. */
 	charge(now: number): void {
-		this.#stepAt(now).extras += 1;
+		this.#bucketAt(now).extras += 1;
 	}
 
-	/** Extra sends left in the present window. */
+	/** Returns the extra sends left in the current window. */
 	left(now: number): number {
-		this.#forget(now);
+		this.#dropExpired(now);
 		let requests = 0;
 		let extras = 0;
-		for (const step of this.#steps) {
-			requests += step.requests;
-			extras += step.extras;
+		for (const bucket of this.#buckets) {
+			requests += bucket.requests;
+			extras += bucket.extras;
 		}
 
 		const {ratio, allowance} = this.#rule;
-		return (caution * ((ratio * requests) + (allowance / Math.max(1, this.#countHosts())))) - extras;
+		return (safetyFactor * ((ratio * requests) + (allowance / Math.max(1, this.#countHosts())))) - extras;
 	}
 
-	#stepAt(now: number): Step {
-		this.#forget(now);
-		const index = Math.floor(now * steps / this.#rule.windowMs);
-		const last = this.#steps.at(-1);
+	#bucketAt(now: number): Bucket {
+		this.#dropExpired(now);
+		const index = Math.floor(now * bucketCount / this.#rule.windowMs);
+		const last = this.#buckets.at(-1);
 		if (last?.index === index) {
 			return last;
 		}
 
-		const step = {index, requests: 0, extras: 0};
-		this.#steps.push(step);
-		return step;
+		const bucket = {index, requests: 0, extras: 0};
+		this.#buckets.push(bucket);
+		return bucket;
 	}
 
-	#forget(now: number): void {
-		const first = Math.floor(now * steps / this.#rule.windowMs) - steps;
-		this.#steps = this.#steps.filter(({index}) => index >= first);
+	#dropExpired(now: number): void {
+		const first = Math.floor(now * bucketCount / this.#rule.windowMs) - bucketCount;
+		this.#buckets = this.#buckets.filter(({index}) => index >= first);
 	}
 }
--- a/packages/policy/src/relay/route-table.test.ts
+++ b/packages/policy/src/relay/route-table.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: which route a request takes. */
+/** A request must reach the route of its authority with the longest matching prefix, or none. */
 import {describe, it} from 'node:test';
 import {type Route, type Routing} from '@gatehead/schema/routing';
 import {expect} from 'earl';
@@ -34,25 +34,25 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'the prefix that begins the path', authority: 'a.example', target: '/x/1', route: 'short',
+		name: 'matches a path prefix', authority: 'a.example', target: '/x/1', route: 'short',
 	},
 	{
-		name: 'the longest of two', authority: 'a.example', target: '/x/y/1', route: 'long',
+		name: 'prefers the longest prefix', authority: 'a.example', target: '/x/y/1', route: 'long',
 	},
 	{
-		name: 'the authority decides first', authority: 'b.example', target: '/x/y/1', route: 'other',
+		name: 'matches the authority before the path', authority: 'b.example', target: '/x/y/1', route: 'other',
 	},
 	{
-		name: 'port and case of the authority do not count', authority: 'A.Example:8080', target: '/x/1', route: 'short',
+		name: 'ignores the port and case of the authority', authority: 'A.Example:8080', target: '/x/1', route: 'short',
 	},
 	{
-		name: 'a query is no part of the path', authority: 'a.example', target: '/x?/x/y/', route: undefined,
+		name: 'ignores the query', authority: 'a.example', target: '/x?/x/y/', route: undefined,
 	},
 	{
-		name: 'an unknown path has none', authority: 'a.example', target: '/z/', route: undefined,
+		name: 'does not match an unknown path', authority: 'a.example', target: '/z/', route: undefined,
 	},
 	{
-		name: 'an unknown authority has none', authority: 'c.example', target: '/x/', route: undefined,
+		name: 'does not match an unknown authority', authority: 'c.example', target: '/x/', route: undefined,
 	},
 ];
 
@@ -64,7 +64,7 @@
 		});
 	}
 
-	it('services are drawn by weight', () => {
+	it('chooses services by weight', () => {
 		const random = seedRandom(1);
 		const split = table.match('b.example', '/split/1');
 		let plain = 0;
--- a/packages/policy/src/relay/route-table.ts
+++ b/packages/policy/src/relay/route-table.ts
@@ -1,19 +1,19 @@
 /**
- * Finds the route of a request: by authority, then by the longest prefix of
- * its path; a route's services are drawn by weight. Finds the workspace of a
- * key. Safety: a request never goes to a service that its route does not name.
+ * Looks up the route of a request by authority and longest path prefix, a
+ * route's service by weighted random choice, and the workspace of a key.
+ * Safety: requests reach only services named by their route.
  */
 import {
 	type Route, type Routing, type Service, type Workspace,
 } from '@gatehead/schema/routing';
 import {type Random} from '../utils/random.js';
 
-/** Authorities compare without their port and case. */
+/** Removes the port of an authority and converts it to lower case. */
 export function normalizeAuthority(authority: string): string {
 	return authority.replace(/:\d+$/v, '').toLowerCase();
 }
 
-/** One configuration, laid out for look-ups. */
+/** Lookup tables of one configuration. */
 export class RouteTable {
 	readonly routing: Routing;
 	readonly #routes = new Map<string, Route[]>();
@@ -42,28 +42,27 @@
 		}
 	}
 
-	/** The route of a request, or undefined where none matches. `target` may carry a query. */
+	/** Returns the route of a request, or undefined if none matches. `target` may include a query. */
 	match(authority: string, target: string): Route | undefined {
 		const path = target.split('?', 1)[0] ?? target;
 		return this.#routes.get(normalizeAuthority(authority))?.find(({pathPrefix}) => path.startsWith(pathPrefix));
 	}
 
-	/** Whether callers show keys, but for public routes. */
+	/** Whether callers must present keys, except on public routes. */
 	get hasWorkspaces(): boolean {
 		return this.routing.workspaces !== undefined;
 	}
 
-	/** The workspace of a key, by the key's digest. */
+	/** Returns the workspace of a key's digest. */
 	workspaceOf(keyDigest: string): Workspace | undefined {
 		return this.#workspaces.get(keyDigest);
 	}
 
-	/** A service by name. */
 	service(name: string): Service | undefined {
 		return this.#services.get(name);
 	}
 
-	/** Draws one of a route's services by weight. */
+	/** Chooses one of a route's services at random, by weight. */
 	draw({shares}: Route, random: Random): Service | undefined {
 		const total = shares.reduce((sum, {weight}) => sum + weight, 0);
 		let point = random.next() * total;
