--- a/packages/policy/src/relay/second-tries.ts
+++ b/packages/policy/src/relay/second-tries.ts
@@ -1,40 +1,39 @@
 /**
- * Tells a caller's second try from its first by the patience that is left: a
- * refused caller comes back with less of it. Efficiency only: a second try is
- * not refused early once more, since it would not be tried again.
+ * Detects retries by the remaining caller timeout, which is shorter for a
+ * retry than for a first attempt on the same route. A retry is not rejected
+ * early, since the caller would not try again.
  */
 
 /**
- * Patience by which first tries of one route differ, in milliseconds: a new
- * connection costs a caller some round trips of it, 24 ms at most where it
- * was observed, and whoever was refused comes back after the time that the
- * refusal names, at least several times as much. First tries that are taken
- * for second ones are not refused when they can no longer be in time.
+ * Difference in timeout that is attributed to connection setup, in
+ * milliseconds. A retry differs by at least the `Retry-After` time, which is
+ * several times as long. First attempts mistaken for retries are not rejected
+ * when they can no longer be in time.
  */
 const connectAllowanceMs = 100;
-/** Requests of a route after which the longest patience among those before them is forgotten, so that one unusually patient caller does not turn all others into second tries for good. */
-const rememberedRequests = 200;
+/** Requests per period. The longest timeout is forgotten after two periods, so that one unusually long timeout does not turn all later requests into retries. */
+const requestsPerPeriod = 200;
 
-/** The longest patience of a route's latest requests. */
-type Patience = {
-	/** Among the requests of the present stretch, and of the one before. */
+/** Longest timeouts of a route's recent requests, in milliseconds. */
+type RecentTimeouts = {
+	/** In the current period. */
 	longest: number;
-	before: number;
-	/** Requests of the present stretch. */
-	seen: number;
+	/** In the previous period. */
+	previous: number;
+	/** Number of requests in the current period. */
+	count: number;
 };
 
-/** What was seen of each route's callers. */
+/** Detects retries on all routes. */
 export class SecondTries {
-	/** By route: the longest is a first try's. */
-	readonly #routes = new Map<string, Patience>();
+	readonly #routes = new Map<string, RecentTimeouts>();
 
-	/** Notes a request's patience; returns whether it is a second try. */
-	note(route: string, patienceMs: number): boolean {
-		const known = this.#routes.get(route) ?? {longest: 0, before: 0, seen: 0};
-		const {longest, before, seen} = known.seen < rememberedRequests ? known : {longest: 0, before: known.longest, seen: 0};
-		const noted = {longest: Math.max(patienceMs, longest), before, seen: seen + 1};
-		this.#routes.set(route, noted);
-		return patienceMs < Math.max(noted.longest, before) - connectAllowanceMs;
+	/** Records a request's remaining timeout, in milliseconds. Returns whether the request is a retry. */
+	note(route: string, timeoutMs: number): boolean {
+		const recorded = this.#routes.get(route) ?? {longest: 0, previous: 0, count: 0};
+		const {longest, previous, count} = recorded.count < requestsPerPeriod ? recorded : {longest: 0, previous: recorded.longest, count: 0};
+		const updated = {longest: Math.max(timeoutMs, longest), previous, count: count + 1};
+		this.#routes.set(route, updated);
+		return timeoutMs < Math.max(updated.longest, previous) - connectAllowanceMs;
 	}
 }
