--- a/packages/policy/src/relay/stage-split.test.ts
+++ b/packages/policy/src/relay/stage-split.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: when replicas change their part. */
+/** Replicas must change their stage only when the service gains throughput by it. */
 import {describe, it} from 'node:test';
 import {type Endpoint} from '@gatehead/schema/routing';
 import {expect} from 'earl';
@@ -12,10 +12,10 @@
 	}));
 }
 
-const usual: Paces = {
+const typical: Paces = {
 	prefillPerS: 10, decodePerS: 3, seen: 100, isShort: false,
 };
-const unseen: Paces = {...usual, seen: 0};
+const unobserved: Paces = {...typical, seen: 0};
 
 type Case = {
 	readonly name: string;
@@ -28,43 +28,43 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'before any request the wanted share is made at once', prefill: 5, decode: 8, paces: unseen, changes: ['decode', 'decode'],
+		name: 'applies the initial share at once before any request', prefill: 5, decode: 8, paces: unobserved, changes: ['decode', 'decode'],
 	},
 	{
-		name: 'the wanted share stays as it is', prefill: 3, decode: 10, paces: unseen, changes: [],
+		name: 'keeps the initial share', prefill: 3, decode: 10, paces: unobserved, changes: [],
 	},
 	{
-		name: 'a few requests say nothing', prefill: 5, decode: 8, paces: {...usual, seen: 5}, changes: [],
+		name: 'ignores too few observations', prefill: 5, decode: 8, paces: {...typical, seen: 5}, changes: [],
 	},
 	{
-		name: 'a replica that is not needed for reading decodes, one at a time', prefill: 5, decode: 8, paces: usual, changes: ['decode'],
+		name: 'changes surplus prefill replicas one at a time', prefill: 5, decode: 8, paces: typical, changes: ['decode'],
 	},
 	{
-		name: 'where replicas are lost, one reader is enough for the rest', prefill: 2, decode: 3, paces: usual, changes: ['decode'],
+		name: 'keeps one prefill replica for a reduced fleet', prefill: 2, decode: 3, paces: typical, changes: ['decode'],
 	},
 	{
-		name: 'the last reader stays', prefill: 1, decode: 2, paces: usual, changes: [],
+		name: 'keeps the last prefill replica', prefill: 1, decode: 2, paces: typical, changes: [],
 	},
 	{
-		name: 'a lost prefill replica is made up for', prefill: 0, decode: 5, paces: usual, changes: ['prefill'],
+		name: 'replaces a lost prefill replica', prefill: 0, decode: 5, paces: typical, changes: ['prefill'],
 	},
 	{
-		name: 'but not while requests wait for memory', prefill: 0, decode: 5, paces: {...usual, isShort: true}, changes: [],
+		name: 'keeps decode replicas while requests wait for memory', prefill: 0, decode: 5, paces: {...typical, isShort: true}, changes: [],
 	},
 	{
-		name: 'a second reader stays where one would be short', prefill: 2, decode: 4, paces: {...usual, prefillPerS: 8}, changes: [],
+		name: 'keeps a second prefill replica if one is not enough', prefill: 2, decode: 4, paces: {...typical, prefillPerS: 8}, changes: [],
 	},
 	{
-		name: 'longer prompts want more readers', prefill: 1, decode: 7, paces: {...usual, prefillPerS: 3}, changes: ['prefill'],
+		name: 'adds prefill replicas for longer prompts', prefill: 1, decode: 7, paces: {...typical, prefillPerS: 3}, changes: ['prefill'],
 	},
 	{
-		name: 'a small gain is not worth a decode replica that is away', prefill: 1, decode: 6, paces: usual, changes: [],
+		name: 'does not change a decode replica for a small gain', prefill: 1, decode: 6, paces: typical, changes: [],
 	},
 	{
-		name: 'a replica that fails is not ordered', prefill: 3, decode: 5, paces: usual, broken: ['r0', 'r1', 'r2'], changes: [],
+		name: 'does not change an unusable replica', prefill: 3, decode: 5, paces: typical, broken: ['r0', 'r1', 'r2'], changes: [],
 	},
 	{
-		name: 'the only replica is left alone', prefill: 0, decode: 1, paces: usual, changes: [],
+		name: 'does not change the only replica', prefill: 0, decode: 1, paces: typical, changes: [],
 	},
 ];
 
@@ -76,9 +76,9 @@
 		});
 	}
 
-	it('the best split is the one that serves most', () => {
+	it('finds the split with the highest throughput', () => {
 		for (const prefillPerS of [2, 5, 10, 40]) {
-			const paces = {...usual, prefillPerS};
+			const paces = {...typical, prefillPerS};
 			const best = serviceRate(13, bestPrefill(13, paces), paces);
 			for (let prefill = 1; prefill < 13; prefill += 1) {
 				expect(serviceRate(13, prefill, paces) <= best).toEqual(true);
@@ -86,18 +86,18 @@
 		}
 	});
 
-	it('with readers to spare the decode side bounds the rate, without them both share its time', () => {
-		expect(serviceRate(6, 2, usual)).toEqual(12);
-		expect(Math.round(10 * serviceRate(6, 0, usual))).toEqual(108);
+	it('is limited by decode replicas, which prefill as well without prefill replicas', () => {
+		expect(serviceRate(6, 2, typical)).toEqual(12);
+		expect(Math.round(10 * serviceRate(6, 0, typical))).toEqual(108);
 	});
 
-	it('bursts of long prompts: a quarter of a large fleet reads before any request, about what its paces will ask for', () => {
-		// Prompts of 5,000 tokens read in 0.12 s; their streams hold an eighth of a replica's memory for 3.4 s
-		const long: Paces = {...usual, prefillPerS: 8.3, decodePerS: 2.27};
-		const atFirst = 14 - new StageSplit(0.25).choose(replicas(14, 28), unseen, () => true).length;
+	it('starts a large fleet near the best split for long prompts', () => {
+		// Prompts of 5,000 tokens take 0.12 s of prefill; their streams hold an eighth of a replica's memory for 3.4 s
+		const long: Paces = {...typical, prefillPerS: 8.3, decodePerS: 2.27};
+		const initial = 14 - new StageSplit(0.25).choose(replicas(14, 28), unobserved, () => true).length;
 		const best = bestPrefill(42, long);
-		expect([atFirst, best]).toEqual([11, 10]);
-		expect(serviceRate(42, atFirst, long) / serviceRate(42, best, long) > 0.95).toEqual(true);
-		expect(new StageSplit(0.25).choose(replicas(atFirst, 42 - atFirst), long, () => true)).toEqual([]);
+		expect([initial, best]).toEqual([11, 10]);
+		expect(serviceRate(42, initial, long) / serviceRate(42, best, long) > 0.95).toEqual(true);
+		expect(new StageSplit(0.25).choose(replicas(initial, 42 - initial), long, () => true)).toEqual([]);
 	});
 });
--- a/packages/policy/src/relay/stage-split.ts
+++ b/packages/policy/src/relay/stage-split.ts
@@ -1,59 +1,58 @@
 /**
- * How many of a model's replicas should read prompts and how many should
- * decode: the split at which the service would serve most requests a second,
- * from the paces at which this host saw both sides work. It starts from a
- * share in the settings. Efficiency: a wrong split costs waiting.
+ * Divides a model's replicas between prefill and decode so that the service
+ * has the highest throughput, based on the throughput that this host observed
+ * in both stages. The initial split comes from the settings.
  */
 import {type Endpoint} from '@gatehead/schema/routing';
 
-/** Times as long as a prefill replica takes a decode replica to read a prompt, while its own streams stand still: by the engines' description they read at half the pace between the tokens of others. */
+/** Prefill time on a decode replica relative to a prefill replica; its own streams stall meanwhile. */
 export const decodeReadingFactor = 2;
-/** Share of its pace up to which a prefill replica is reckoned with: close to it prompts wait long for their turn. With 0.8 six replicas keep two readers, with 0.9 one; both served alike in 15 paired plays of a day (worst moments 0.302 and 0.293, whole day 0.803 and 0.811 of the credit). */
-const mostReading = 0.9;
-/** Least prefill replicas wanted: prompts beyond what they read are left to the decode replicas, as are all when none is left. */
-const leastPrefill = 1;
-/** Replicas for each change that may be under way at once under load: a change takes its replica away for seconds, a twelfth of the room at most. */
+/** Maximum planned utilization of a prefill replica: queueing delays grow close to full utilization. */
+const maxPrefillUtilization = 0.9;
+/** Minimum number of prefill replicas; decode replicas prefill the prompts that exceed their capacity. */
+const minPrefill = 1;
+/** Number of replicas per concurrent change under load, since a change makes its replica unavailable for seconds. */
 const replicasPerChange = 12;
-/** Weight of a new prompt in the mean: about twenty make it, so that a shift between long and short prompts is followed within seconds. */
+/** Weight of a new prompt in the average, which covers about twenty prompts. */
 const weight = 0.05;
-/** Requests of either side from which on their paces count: lengths differ by half, so the mean of twelve is right to a seventh. */
-const leastSeen = 12;
-/** Least gain for which a change is ordered, as a share of the present rate: a prefill replica that becomes a decode replica is missed by nobody meanwhile, one that leaves the decode side takes its room away for six seconds and as long as its streams last. */
-const leastGain: Readonly<Record<StageChange['stage'], number>> = {decode: 0.04, prefill: 0.1};
+/** Minimum number of observed requests to rely on the throughput. */
+const minSamples = 12;
+/** Minimum relative throughput gain to order a change, by target stage. Changing a decode replica costs more, since its memory is unavailable while its streams drain and for six more seconds. */
+const minGain: Readonly<Record<StageChange['stage'], number>> = {decode: 0.04, prefill: 0.1};
 
-/** A change of part that would help. */
+/** A stage change to order. */
 export type StageChange = {
 	readonly endpoint: Endpoint;
 	readonly stage: 'prefill' | 'decode';
 	readonly reason: string;
 };
 
-/** How fast one replica of either part works, in requests a second, and from how many requests that is known. */
+/** Observed throughput of one replica in either stage, in requests per second, and the number of requests observed. */
 export type Paces = {
 	readonly prefillPerS: number;
 	readonly decodePerS: number;
 	readonly seen: number;
-	/** Requests have waited for memory a moment ago: no decode replica can be spared. */
+	/** Requests recently waited for decode memory, so no decode replica may be changed. */
 	readonly isShort: boolean;
 };
 
-/** Requests a second that so many replicas serve with so many of them reading prompts. */
+/** Returns the throughput of `replicas` replicas of which `prefill` are in the prefill stage, in requests per second. */
 export function serviceRate(replicas: number, prefill: number, {prefillPerS, decodePerS}: Paces): number {
 	const decode = replicas - prefill;
-	const decodeBound = decodePerS * decode;
-	const readPerS = mostReading * prefillPerS;
-	if (decodeBound <= readPerS * prefill) {
-		return decodeBound;
+	const decodeLimitPerS = decodePerS * decode;
+	const usablePrefillPerS = maxPrefillUtilization * prefillPerS;
+	if (decodeLimitPerS <= usablePrefillPerS * prefill) {
+		return decodeLimitPerS;
 	}
 
-	// Decode replicas read the rest: their time is shared between decoding all and reading some
-	const readingS = decodeReadingFactor / readPerS;
-	return (decode + (decodeReadingFactor * prefill)) / ((1 / decodePerS) + readingS);
+	// Decode replicas prefill the remaining prompts, in addition to decoding all requests
+	const decodePrefillS = decodeReadingFactor / usablePrefillPerS;
+	return (decode + (decodeReadingFactor * prefill)) / ((1 / decodePerS) + decodePrefillS);
 }
 
-/** Prefill replicas at which so many replicas serve most; the fewest among equals. */
+/** Returns the number of prefill replicas with the highest throughput; the fewest among equals. */
 export function bestPrefill(replicas: number, paces: Paces): number {
-	let best = Math.min(leastPrefill, replicas - 1);
+	let best = Math.min(minPrefill, replicas - 1);
 	for (let prefill = best + 1; prefill < replicas; prefill += 1) {
 		if (serviceRate(replicas, prefill, paces) > serviceRate(replicas, best, paces)) {
 			best = prefill;
@@ -63,39 +62,39 @@
 	return Math.max(0, best);
 }
 
-/** The split of one service. */
+/** Stage split of one service. */
 export class StageSplit {
 	readonly #share: number;
 	#readMs = 0;
 	#read = 0;
 
-	/** `share`: prefill replicas wanted of all, until requests were seen. */
+	/** `share` is the fraction of prefill replicas until requests were observed. */
 	constructor(share: number) {
 		this.#share = share;
 	}
 
-	/** Time for which a prompt keeps its prefill replica busy, in milliseconds; 0 until one was read. */
+	/** Average time that a prompt occupies its prefill replica, in milliseconds; 0 before the first observation. */
 	get readMs(): number {
 		return this.#readMs;
 	}
 
-	/** Prompts that were read. */
+	/** Number of prompts observed. */
 	get read(): number {
 		return this.#read;
 	}
 
-	/** Notes the time for which a prompt kept its prefill replica busy. */
+	/** Records the time that a prompt occupied its prefill replica, in milliseconds. */
 	noteRead(busyMs: number): void {
 		this.#read += 1;
 		this.#readMs += Math.max(weight, 1 / this.#read) * (busyMs - this.#readMs);
 	}
 
-	/** Changes to order now: all at once while nothing has come yet, a few at a time later on. */
+	/** Returns the changes to order now: all at once before the first request, a few at a time under load. */
 	choose(replicas: readonly Endpoint[], paces: Paces, isUsable: (endpoint: Endpoint) => boolean): StageChange[] {
-		const most = paces.seen === 0 ? replicas.length : Math.max(1, Math.floor(replicas.length / replicasPerChange));
+		const maxChanges = paces.seen === 0 ? replicas.length : Math.max(1, Math.floor(replicas.length / replicasPerChange));
 		const changes: StageChange[] = [];
 		let left = replicas;
-		while (changes.length < most) {
+		while (changes.length < maxChanges) {
 			const next = this.#chooseOne(left, paces, isUsable);
 			if (next === undefined) {
 				break;
@@ -117,17 +116,17 @@
 		}
 
 		const [from, to] = stage === 'decode' ? [prefill, decode] : [decode, prefill];
-		return change(from.filter(each => isUsable(each)), to, stage, `${prefill.length} prefill of ${replicas.length}; a replica reads ${paces.prefillPerS.toFixed(1)} and decodes ${paces.decodePerS.toFixed(1)} requests a second`);
+		return chooseReplica(from.filter(each => isUsable(each)), to, stage, `${prefill.length} of ${replicas.length} replicas prefill; requests per second and replica: ${paces.prefillPerS.toFixed(1)} prefill, ${paces.decodePerS.toFixed(1)} decode`);
 	}
 
-	/** The part of which there are too few. */
+	/** Returns the stage that needs another replica, or undefined if the split should stay. */
 	#findStage(replicas: number, prefill: number, paces: Paces): StageChange['stage'] | undefined {
 		if (paces.seen === 0) {
-			const wanted = Math.max(Math.min(leastPrefill, replicas - 1), Math.round(this.#share * replicas));
+			const wanted = Math.max(Math.min(minPrefill, replicas - 1), Math.round(this.#share * replicas));
 			return prefill > wanted ? 'decode' : undefined;
 		}
 
-		const wanted = paces.seen < leastSeen ? prefill : bestPrefill(replicas, paces);
+		const wanted = paces.seen < minSamples ? prefill : bestPrefill(replicas, paces);
 		if (wanted === prefill) {
 			return undefined;
 		}
@@ -135,13 +134,13 @@
 		const stage = wanted < prefill ? 'decode' : 'prefill';
 		const next = prefill + (stage === 'decode' ? -1 : 1);
 		const gain = (serviceRate(replicas, next, paces) / serviceRate(replicas, prefill, paces)) - 1;
-		const isSpared = stage === 'decode' || !paces.isShort;
-		return isSpared && gain >= leastGain[stage] ? stage : undefined;
+		const isAllowed = stage === 'decode' || !paces.isShort;
+		return isAllowed && gain >= minGain[stage] ? stage : undefined;
 	}
 }
 
-/** Takes the replica from the hall that has most of its kind, by id among equals, so that every host would choose alike. */
-function change(from: readonly Endpoint[], to: readonly Endpoint[], stage: StageChange['stage'], reason: string): StageChange | undefined {
+/** Chooses the replica from the hall with the largest surplus in its stage, then by id, so that all hosts choose the same one. */
+function chooseReplica(from: readonly Endpoint[], to: readonly Endpoint[], stage: StageChange['stage'], reason: string): StageChange | undefined {
 	const surplus = (hall: string) => from.filter(each => each.hall === hall).length - to.filter(each => each.hall === hall).length;
 	const ordered = from.toSorted((left, right) => surplus(right.hall) - surplus(left.hall) || (left.id < right.id ? -1 : 1));
 	const [endpoint] = ordered;
