--- a/packages/policy/src/relay/start-time.test.ts
+++ b/packages/policy/src/relay/start-time.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: how long a reserved request takes to its first event. */
+/** The estimate must reach the 80th percentile and follow a changed deployment. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {seedRandom} from '../utils/random.js';
@@ -6,7 +6,7 @@
 
 type Case = {
 	readonly name: string;
-	/** Shortest and longest time seen, in milliseconds; evenly spread. */
+	/** Bounds of the uniformly distributed times, in milliseconds. */
 	readonly from: number;
 	readonly to: number;
 	readonly expected: number;
@@ -14,13 +14,13 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'four in five stay below the value', from: 100, to: 600, expected: 500,
+		name: 'estimates the 80th percentile', from: 100, to: 600, expected: 500,
 	},
 	{
-		name: 'a faster deployment is followed', from: 50, to: 100, expected: 90,
+		name: 'follows a faster deployment', from: 50, to: 100, expected: 90,
 	},
 	{
-		name: 'a slower one too', from: 1000, to: 3000, expected: 2600,
+		name: 'follows a slower deployment', from: 1000, to: 3000, expected: 2600,
 	},
 ];
 
@@ -40,7 +40,7 @@
 		});
 	}
 
-	it('the first request replaces what was supposed', () => {
+	it('replaces the initial value with the first observation', () => {
 		const time = new StartTime();
 		time.note(40);
 		expect(time.valueMs).toEqual(40);
--- a/packages/policy/src/relay/subsets.test.ts
+++ b/packages/policy/src/relay/subsets.test.ts
@@ -1,4 +1,4 @@
-/** How hosts and endpoints are dealt in large fleets. */
+/** Subsets must be even, agree between hosts, and change little when a member is lost. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {countSubsets, dealSubsets, listSubset} from './subsets.js';
@@ -22,27 +22,27 @@
 
 describe('subsets', () => {
 	for (const [hosts, subsets] of counts) {
-		it(`${hosts} hosts form ${subsets}`, () => {
+		it(`divides ${hosts} hosts into ${subsets}`, () => {
 			expect(countSubsets(hosts)).toEqual(subsets);
 		});
 	}
 
-	it('are even', () => {
-		const dealt = dealSubsets(makeNames('host', 86), 4);
-		const sizes = Array.from({length: 4}, (_, subset) => [...dealt.values()].filter(each => each === subset).length);
-		expect(dealt.size).toEqual(86);
+	it('have even sizes', () => {
+		const assigned = dealSubsets(makeNames('host', 86), 4);
+		const sizes = Array.from({length: 4}, (_, subset) => [...assigned.values()].filter(each => each === subset).length);
+		expect(assigned.size).toEqual(86);
 		expect(Math.max(...sizes)).toEqual(22);
 		expect(Math.min(...sizes) >= 20).toEqual(true);
 	});
 
-	it('do not depend on the order in which names are known', () => {
+	it('do not depend on the order of names', () => {
 		const names = makeNames('replica', 63);
 		const forwards = dealSubsets(names, 4);
 		const backwards = dealSubsets(names.toReversed(), 4);
 		expect(names.map(name => backwards.get(name))).toEqual(names.map(name => forwards.get(name)));
 	});
 
-	it('keep most names where they are when one is lost', () => {
+	it('keep most assignments when a name is removed', () => {
 		const names = makeNames('host', 86);
 		const before = dealSubsets(names, 4);
 		for (const lost of [0, 20, 85]) {
@@ -51,14 +51,14 @@
 		}
 	});
 
-	it('hold each endpoint once', () => {
+	it('contain each endpoint once', () => {
 		const names = makeNames('replica', 47);
 		const all = Array.from({length: 4}, (_, own) => [...listSubset(names, {count: 4, own}) ?? []]).flat();
 		expect(all.length).toEqual(names.length);
 		expect(new Set(all)).toEqual(new Set(names));
 	});
 
-	it('are not formed of few endpoints', () => {
+	it('are not formed from too few endpoints', () => {
 		expect(listSubset(makeNames('replica', 7), {count: 4, own: 0})).toEqual(undefined);
 		expect(listSubset(makeNames('replica', 60), {count: 1, own: 0})).toEqual(undefined);
 	});
--- a/packages/policy/src/relay/subsets.ts
+++ b/packages/policy/src/relay/subsets.ts
@@ -1,56 +1,55 @@
 /**
  * Deterministic subsetting for large fleets: hosts and a service's endpoints
- * are dealt into as many subsets, and each host prefers the endpoints of its
- * own one. So the few hosts that share an endpoint can tell each other of
- * every request, and each endpoint has few connections. Dealing each hall by
- * itself was worse at 195 hosts in five halls: its subsets hold one or two
- * prefill replicas, and half as many requests again were late before any loss
- * (1,024 in place of 677 of 8,290). Efficiency: hosts that know different members disagree for a while.
+ * are assigned to the same number of subsets, and each host prefers the
+ * endpoints in its own subset. This limits the connections per endpoint, and
+ * the hosts that share an endpoint are few enough to report every request to
+ * each other. Subsets span halls, since those within one hall would have too
+ * few prefill replicas. Hosts with different member lists disagree temporarily.
  */
 import {hashText} from '@gatehead/schema/hash-text';
 import {rank} from '../core/rendezvous.js';
 
-/** Hosts of a subset, at least; with twice as many it is split. Below, all hosts tell each other of every request; 20 told each other of every request at about 15 messages a second a host, worked out from 0.7 requests (docs/CAPACITY.md). */
-const leastHosts = 16;
-/** Endpoints of one kind that each subset must have on average, so that one can fail; with fewer all hosts share them. */
-const leastEndpoints = 2;
+/** Minimum number of hosts per subset; a subset with twice as many is split. */
+const minHosts = 16;
+/** Minimum average number of endpoints of one kind per subset, so that one can fail; with fewer, all hosts share them. */
+const minEndpoints = 2;
 
-/** A host's subset among all. */
+/** The number of subsets, and the index of a host's own one. */
 export type Subset = {
 	readonly count: number;
 	readonly own: number;
 };
 
-/** The subset of a fleet that is not dealt. */
+/** The only subset of a fleet that is not divided. */
 export const wholeFleet: Subset = {count: 1, own: 0};
 
-/** Subsets that so many hosts form: a power of two, so that it seldom changes. */
+/** Returns the number of subsets for `hosts` hosts: a power of two, so that it seldom changes. */
 export function countSubsets(hosts: number): number {
-	return 2 ** Math.max(0, Math.floor(Math.log2(Math.max(1, hosts) / leastHosts)));
+	return 2 ** Math.max(0, Math.floor(Math.log2(Math.max(1, hosts) / minHosts)));
 }
 
-/** Deals names evenly: each goes to the subset that weighs most for it and has room left. The loss of one name moves few others. */
+/** Assigns names evenly to subsets by rendezvous hashing: each name goes to its highest-ranked subset with room. Removing a name moves few others. */
 export function dealSubsets(names: readonly string[], count: number): Map<string, number> {
-	const most = Math.ceil(names.length / count);
+	const maxSize = Math.ceil(names.length / count);
 	const sizes = Array.from({length: count}, () => 0);
 	const subsets = sizes.map((_, index) => String(index));
-	const dealt = new Map<string, number>();
+	const assigned = new Map<string, number>();
 	const ordered = names.toSorted((left, right) => hashText(left) - hashText(right) || (left < right ? -1 : 1));
 	for (const name of ordered) {
-		const chosen = Number(rank(name, subsets).find(subset => (sizes[Number(subset)] ?? most) < most) ?? 0);
+		const chosen = Number(rank(name, subsets).find(subset => (sizes[Number(subset)] ?? maxSize) < maxSize) ?? 0);
 		sizes[chosen] = (sizes[chosen] ?? 0) + 1;
-		dealt.set(name, chosen);
+		assigned.set(name, chosen);
 	}
 
-	return dealt;
+	return assigned;
 }
 
-/** Names of the subset `own` among endpoints of one kind; undefined where they are too few to be dealt. */
+/** Returns the names in subset `own` among endpoints of one kind, or undefined if there are too few to divide. */
 export function listSubset(names: readonly string[], {count, own}: Subset): ReadonlySet<string> | undefined {
-	if (count < 2 || names.length < count * leastEndpoints) {
+	if (count < 2 || names.length < count * minEndpoints) {
 		return undefined;
 	}
 
-	const dealt = dealSubsets(names, count);
-	return new Set(names.filter(name => dealt.get(name) === own));
+	const assigned = dealSubsets(names, count);
+	return new Set(names.filter(name => assigned.get(name) === own));
 }
