--- a/packages/policy/src/relay/restored-histories.test.ts
+++ b/packages/policy/src/relay/restored-histories.test.ts
@@ -1,8 +1,8 @@
 /**
- * Generated histories of a directory that comes back from copies, read by one
- * host, heard by another, in any order. Once every endpoint has written again
- * what it is, all hosts agree with the directory; and no host that knew an
- * endpoint to be leaving gives it work again before.
+ * Property test of directory restores from backups, with two hosts that read
+ * the directory or each other's state. After a restore, hosts must not send
+ * work to endpoints that they knew to be leaving, and must agree with the
+ * directory once all endpoints have registered again.
  */
 import {describe, it} from 'node:test';
 import {comparePositions, isLater, type Position} from '@gatehead/schema/position';
@@ -21,13 +21,13 @@
 
 type Event = {readonly name: string; readonly revision: number; readonly endpoint: Endpoint | undefined};
 
-/** The directory: entries by name, the events of its present history, and a copy. */
-class PlayedDirectory {
+/** Simulated directory: entries by name, the events of its current epoch, and a backup. */
+class SimulatedDirectory {
 	epoch = 1;
 	revision = 0;
 	#entries = new Map<string, Event>();
 	#events: Event[] = [];
-	#copy: {readonly revision: number; readonly entries: Map<string, Event>; readonly events: readonly Event[]} = {revision: 0, entries: new Map(), events: []};
+	#backup: {readonly revision: number; readonly entries: Map<string, Event>; readonly events: readonly Event[]} = {revision: 0, entries: new Map(), events: []};
 
 	get position(): Position {
 		return {epoch: this.epoch, revision: this.revision};
@@ -49,14 +49,14 @@
 	}
 
 	copy(): void {
-		this.#copy = {revision: this.revision, entries: new Map(this.#entries), events: [...this.#events]};
+		this.#backup = {revision: this.revision, entries: new Map(this.#entries), events: [...this.#events]};
 	}
 
 	restore(): void {
 		this.epoch += 1;
-		this.revision = this.#copy.revision;
-		this.#entries = new Map(this.#copy.entries);
-		this.#events = [...this.#copy.events];
+		this.revision = this.#backup.revision;
+		this.#entries = new Map(this.#backup.entries);
+		this.#events = [...this.#backup.events];
 	}
 
 	list(): ListedEndpoint[] {
@@ -68,14 +68,14 @@
 	}
 }
 
-/** One host's book and position; what it has known to be leaving. */
-class PlayedHost {
+/** Simulated host: its endpoint book, its position, and the endpoints that it knew to be leaving. */
+class SimulatedHost {
 	readonly book = new EndpointBook();
-	readonly knownLeft = new Set<string>();
+	readonly knownLeaving = new Set<string>();
 	position: Position | undefined;
 
-	/** A watch where the position is of the directory's history, a list otherwise. */
-	read(directory: PlayedDirectory, now: number): void {
+	/** Reads events if the position is in the current epoch, and a full list otherwise. */
+	read(directory: SimulatedDirectory, now: number): void {
 		const {position} = directory;
 		const known = this.position;
 		if (known !== undefined && known.epoch === position.epoch) {
@@ -92,22 +92,22 @@
 		this.position = position;
 	}
 
-	hear(teller: PlayedHost, now: number): void {
-		const {position} = teller;
+	readFrom(source: SimulatedHost, now: number): void {
+		const {position} = source;
 		if (position === undefined) {
 			return;
 		}
 
 		const known = this.position;
-		this.book.mergeDepartures(teller.book.listDepartures(now), now);
+		this.book.mergeDepartures(source.book.listDepartures(now), now);
 		if (known !== undefined && comparePositions(position, known) !== 'later') {
 			return;
 		}
 
 		this.#follow(position, now);
-		const listed = teller.book.list();
+		const listed = source.book.list();
 		this.#note(this.book.replace({
-			listed: listed.filter(each => known === undefined || isLater(each, known)), ids: new Set(listed.map(each => each.endpoint.id)), position, isWitnessed: true, kept: teller.book.listKept(now),
+			listed: listed.filter(each => known === undefined || isLater(each, known)), ids: new Set(listed.map(each => each.endpoint.id)), position, isWitnessed: true, kept: source.book.listKept(now),
 		}, now));
 		this.position = position;
 	}
@@ -121,39 +121,39 @@
 	#note(changes: ReturnType<EndpointBook['replace']>): void {
 		for (const {endpoint, change} of changes) {
 			if (change === 'leaving') {
-				this.knownLeft.add(endpoint.id);
+				this.knownLeaving.add(endpoint.id);
 			}
 		}
 	}
 }
 
-type Deed = {readonly kind: 'start' | 'leave' | 'end' | 'rewrite'; readonly name: number} | {readonly kind: 'copy' | 'restore' | 'readA' | 'readB' | 'tellA' | 'tellB' | 'tick'};
+type Action = {readonly kind: 'start' | 'leave' | 'end' | 'rewrite'; readonly name: number} | {readonly kind: 'copy' | 'restore' | 'readA' | 'readB' | 'tellA' | 'tellB' | 'tick'};
 
-const deeds: Arbitrary<Deed[]> = array(oneof(
+const actions: Arbitrary<Action[]> = array(oneof(
 	record({kind: constantFrom<'start' | 'leave' | 'end' | 'rewrite'>('start', 'leave', 'end', 'rewrite'), name: nat(names - 1)}),
 	record({kind: constantFrom<'copy' | 'restore' | 'readA' | 'readB' | 'tellA' | 'tellB' | 'tick'>('copy', 'restore', 'readA', 'readA', 'readB', 'tellA', 'tellB', 'tick')}),
 ), {minLength: 20, maxLength: 60, size: 'max'});
 
-/** All of it, and what each endpoint would write of itself. */
-class Play {
-	readonly directory = new PlayedDirectory();
-	readonly hosts = {a: new PlayedHost(), b: new PlayedHost()};
+/** Simulation of the directory, the hosts, and the endpoints' own state. */
+class Simulation {
+	readonly directory = new SimulatedDirectory();
+	readonly hosts = {a: new SimulatedHost(), b: new SimulatedHost()};
 	readonly own = new Map<string, Endpoint>();
 	now = 0;
 	#starts = 0;
 
-	do(deed: Deed): void {
-		const handlers: Readonly<Record<Deed['kind'], (name: string) => void>> = {
+	do(action: Action): void {
+		const handlers: Readonly<Record<Action['kind'], (name: string) => void>> = {
 			start: name => {
 				this.#starts += 1;
-				this.#say(name, {
+				this.#register(name, {
 					id: `${name}@${this.#starts}`, instance: name, service, address: '10.0.0.1:80', hall: 'a', state: 'ready', slots: 1,
 				});
 			},
 			leave: name => {
 				const endpoint = this.own.get(name);
 				if (endpoint?.state === 'ready') {
-					this.#say(name, {...endpoint, state: 'leaving'});
+					this.#register(name, {...endpoint, state: 'leaving'});
 				}
 			},
 			end: name => {
@@ -177,20 +177,20 @@
 				this.hosts.b.read(this.directory, this.now);
 			},
 			tellA: () => {
-				this.hosts.b.hear(this.hosts.a, this.now);
+				this.hosts.b.readFrom(this.hosts.a, this.now);
 			},
 			tellB: () => {
-				this.hosts.a.hear(this.hosts.b, this.now);
+				this.hosts.a.readFrom(this.hosts.b, this.now);
 			},
 			tick: () => {
 				this.now += 100;
 				this.sweep();
 			},
 		};
-		handlers[deed.kind]('name' in deed ? `e${deed.name}` : '');
+		handlers[action.kind]('name' in action ? `e${action.name}` : '');
 	}
 
-	/** What the directory has lost of an endpoint's word is written again; the entry of one that has ended lapses. */
+	/** Restores an endpoint's lost entry, or removes the entry of an endpoint that has stopped. */
 	rewrite(name: string): void {
 		const endpoint = this.own.get(name);
 		const entry = this.directory.entryOf(name);
@@ -204,12 +204,12 @@
 		this.hosts.b.book.sweep(this.now);
 	}
 
-	/** Endpoints that a host gives work to although it knew them to be leaving. */
-	listForgotten(): string[] {
-		return Object.values(this.hosts).flatMap(({book, knownLeft}) => [...knownLeft].filter(id => book.isReady(id)));
+	/** Returns endpoints that a host considers ready although it knew them to be leaving. */
+	listReadyLeavers(): string[] {
+		return Object.values(this.hosts).flatMap(({book, knownLeaving}) => [...knownLeaving].filter(id => book.isReady(id)));
 	}
 
-	#say(name: string, endpoint: Endpoint): void {
+	#register(name: string, endpoint: Endpoint): void {
 		this.own.set(name, endpoint);
 		this.directory.write(name, endpoint);
 	}
@@ -219,27 +219,27 @@
 	return book.listReady(service).map(({id}) => id).toSorted();
 }
 
-describe('histories of a directory that comes back from copies', () => {
-	it('hosts agree with it once all have written again, and forget no departure before', () => {
-		assert(property(deeds, all => {
-			const play = new Play();
-			for (const deed of all) {
-				play.do(deed);
-				expect(play.listForgotten()).toEqual([]);
+describe('directory restores from backups', () => {
+	it('keep known departures, and hosts agree with the directory after all endpoints register again', () => {
+		assert(property(actions, sequence => {
+			const simulation = new Simulation();
+			for (const action of sequence) {
+				simulation.do(action);
+				expect(simulation.listReadyLeavers()).toEqual([]);
 			}
 
 			for (let name = 0; name < names; name += 1) {
-				play.do({kind: 'rewrite', name});
+				simulation.do({kind: 'rewrite', name});
 			}
 
-			play.do({kind: 'readA'});
-			play.do({kind: 'tellA'});
-			play.now += overrideMs + 1;
-			play.sweep();
-			play.do({kind: 'readA'});
-			play.do({kind: 'readB'});
-			const wanted = [...play.own.values()].filter(({state}) => state === 'ready').map(({id}) => id).toSorted();
-			expect([listReady(play.hosts.a.book), listReady(play.hosts.b.book)]).toEqual([wanted, wanted]);
+			simulation.do({kind: 'readA'});
+			simulation.do({kind: 'tellA'});
+			simulation.now += overrideMs + 1;
+			simulation.sweep();
+			simulation.do({kind: 'readA'});
+			simulation.do({kind: 'readB'});
+			const wanted = [...simulation.own.values()].filter(({state}) => state === 'ready').map(({id}) => id).toSorted();
+			expect([listReady(simulation.hosts.a.book), listReady(simulation.hosts.b.book)]).toEqual([wanted, wanted]);
 		}), {numRuns: runs, seed});
 	});
 });
