--- a/packages/policy/src/relay/endpoint-book.test.ts
+++ b/packages/policy/src/relay/endpoint-book.test.ts
@@ -6,7 +6,7 @@
 import {overrideMs, type Departure} from './departures.js';
 import {EndpointBook, outageGraceMs} from './endpoint-book.js';
 import {type KeptEntry} from './endpoint-change.js';
-import {massGraceMs} from './joint-loss.js';
+import {massRemovalGraceMs} from './mass-removal-detector.js';
 
 function listed(id: string, revision: number, state: Endpoint['state'] = 'ready', stage?: Endpoint['stage']): ListedEndpoint {
 	return {
@@ -93,12 +93,12 @@
 	},
 	{
 		name: 'entries lost together are gone after their grace period',
-		steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), ...five.map((id, index) => ({remove: id, revision: 10 + index})), {wait: massGraceMs + 1}],
+		steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), ...five.map((id, index) => ({remove: id, revision: 10 + index})), {wait: massRemovalGraceMs + 1}],
 		ready: [],
 	},
 	{
 		name: 'an entry that was written again before the others were lost is not lost with them',
-		steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), {remove: 'a', revision: 10}, {put: listed('a', 11)}, ...five.slice(1).map((id, index) => ({remove: id, revision: 12 + index})), {wait: massGraceMs + 1}],
+		steps: [...five.map((id, index) => ({put: listed(id, index + 1)})), {remove: 'a', revision: 10}, {put: listed('a', 11)}, ...five.slice(1).map((id, index) => ({remove: id, revision: 12 + index})), {wait: massRemovalGraceMs + 1}],
 		ready: ['a'],
 	},
 	{
--- a/packages/policy/src/relay/endpoint-book.ts
+++ b/packages/policy/src/relay/endpoint-book.ts
@@ -11,7 +11,7 @@
 import {RecentMap} from '../utils/recent-map.js';
 import {Departures, type Departure} from './departures.js';
 import {type EndpointChange, type EndpointList, type KeptEntry} from './endpoint-change.js';
-import {JointLoss, massGraceMs, type Loss} from './joint-loss.js';
+import {MassRemovalDetector, massRemovalGraceMs, type RemovedEntry} from './mass-removal-detector.js';
 
 /** Time after a directory outage in which a vanished entry may reappear, in milliseconds: the directory's own bound plus the jitter of a heartbeat. */
 export const outageGraceMs = 2200;
@@ -36,7 +36,7 @@
 	/** Processes that have left, in case the directory is restored from a backup. */
 	readonly #departures = new Departures();
 	/** Recently removed entries, to distinguish an outage from single departures. */
-	readonly #losses = new JointLoss(outageGraceMs);
+	readonly #losses = new MassRemovalDetector(outageGraceMs);
 	/** Whether an endpoint has announced itself that it drains, independently of the directory. */
 	readonly #isDraining: (id: string) => boolean;
 	#isDirectoryAway = false;
@@ -311,12 +311,12 @@
 		const isInOutage = this.#isInOutage(now);
 		const returnUntil = this.#isDirectoryAway ? Number.POSITIVE_INFINITY : this.#directoryBackAt + outageGraceMs;
 		if (isInOutage || this.#hasVanished(endpoint.service)) {
-			known.keptUntil ??= isInOutage ? returnUntil : now + massGraceMs;
+			known.keptUntil ??= isInOutage ? returnUntil : now + massRemovalGraceMs;
 			return [{endpoint, change: 'vanished'}];
 		}
 
 		const changes = this.#removeEntry(known, position, now);
-		const jointLosses = this.#losses.add({at: now, position, endpoint}, () => this.listReady(endpoint.service).length);
+		const jointLosses = this.#losses.record({at: now, position, endpoint}, () => this.listReady(endpoint.service).length);
 		return jointLosses.length > 0 ? this.#reinstate(jointLosses, now) : changes;
 	}
 
@@ -332,11 +332,11 @@
 	}
 
 	/** Reinstates entries for a grace period. When most of a service vanishes at once, the directory lost its entries in an outage that was not detected. */
-	#reinstate(losses: readonly Loss[], now: number): EndpointChange[] {
+	#reinstate(losses: readonly RemovedEntry[], now: number): EndpointChange[] {
 		// An instance that has an entry again was not lost in this outage, or has recovered
 		const missing = losses.filter(({endpoint}) => !this.#entries.has(instanceOf(endpoint)));
 		return missing.map(({position, endpoint}) => {
-			this.#set({position, endpoint, keptUntil: now + massGraceMs});
+			this.#set({position, endpoint, keptUntil: now + massRemovalGraceMs});
 			this.#departures.forget(endpoint.id);
 			return {endpoint, change: 'vanished'};
 		});
--- a/packages/policy/src/relay/peer-use.test.ts
+++ b/packages/policy/src/relay/memory-reservations.test.ts
@@ -1,7 +1,7 @@
 /** Reservations must expire, so that a lost or exaggerated report does not block an endpoint. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {PeerUse} from './peer-use.js';
+import {MemoryReservations} from './memory-reservations.js';
 
 type Case = {
 	readonly name: string;
@@ -19,7 +19,7 @@
 describe('decode memory reservations', () => {
 	for (const {name, now, tokens} of cases) {
 		it(name, () => {
-			const use = new PeerUse();
+			const use = new MemoryReservations();
 			use.add('a', 1000, 3000, 0);
 			use.add('a', 500, 60_000, 100);
 			use.add('b', 7000, 60_000, 100);
@@ -28,7 +28,7 @@
 	}
 
 	it('drops the reservations of a removed endpoint', () => {
-		const use = new PeerUse();
+		const use = new MemoryReservations();
 		use.add('a', 1000, 3000, 0);
 		use.forget('a');
 		expect(use.sum('a', 1)).toEqual(0);
--- a/packages/policy/src/relay/peer-use.ts
+++ b/packages/policy/src/relay/memory-reservations.ts
@@ -14,7 +14,7 @@
 };
 
 /** Reservations by endpoint. */
-export class PeerUse {
+export class MemoryReservations {
 	readonly #reservations = new Map<string, Reservation[]>();
 
 	/** Records a reservation of `tokens` at an endpoint for `heldMs` milliseconds, capped at ten seconds. */
--- a/packages/policy/src/relay/orders-under-way.test.ts
+++ b/packages/policy/src/relay/pending-stage-changes.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {type Endpoint} from '@gatehead/schema/routing';
 import {expect} from 'earl';
-import {OrdersUnderWay} from './orders-under-way.js';
+import {PendingStageChanges} from './pending-stage-changes.js';
 
 const decode: Endpoint = {
 	id: 'r', service: 'model', address: '10.0.0.1:80', hall: 'h', state: 'ready', stage: 'decode', slots: 64,
@@ -37,16 +37,16 @@
 	},
 ];
 
-describe('orders under way', () => {
+describe('pending stage changes', () => {
 	for (const {name, orderedAt, hasFailed = false, published, now, stage} of cases) {
 		it(name, () => {
-			const orders = new OrdersUnderWay();
+			const orders = new PendingStageChanges();
 			if (orderedAt !== undefined) {
-				orders.begin('r', 'prefill', orderedAt);
+				orders.add('r', 'prefill', orderedAt);
 			}
 
 			if (hasFailed) {
-				orders.fail('r');
+				orders.remove('r');
 			}
 
 			expect(orders.apply([published], now).map(each => each.stage)).toEqual([stage]);
@@ -54,8 +54,8 @@
 	}
 
 	it('does not reapply a completed order after the replica changes back', () => {
-		const orders = new OrdersUnderWay();
-		orders.begin('r', 'prefill', 0);
+		const orders = new PendingStageChanges();
+		orders.add('r', 'prefill', 0);
 		orders.apply([prefill], 7000);
 		expect(orders.apply([decode], 9000)).toEqual([decode]);
 	});
--- a/packages/policy/src/relay/orders-under-way.ts
+++ b/packages/policy/src/relay/pending-stage-changes.ts
@@ -15,16 +15,16 @@
 };
 
 /** Pending stage changes ordered by this host. */
-export class OrdersUnderWay {
+export class PendingStageChanges {
 	readonly #orders = new Map<string, PendingOrder>();
 
 	/** Records an order sent to an endpoint. */
-	begin(endpoint: string, stage: StageChange['stage'], now: number): void {
+	add(endpoint: string, stage: StageChange['stage'], now: number): void {
 		this.#orders.set(endpoint, {stage, at: now});
 	}
 
 	/** Removes an order that the endpoint refused. */
-	fail(endpoint: string): void {
+	remove(endpoint: string): void {
 		this.#orders.delete(endpoint);
 	}
 
--- a/packages/policy/src/relay/placement.ts
+++ b/packages/policy/src/relay/placement.ts
@@ -7,17 +7,17 @@
 import {type Random} from '../utils/random.js';
 
 /** What this host knows about an endpoint. */
-export type Standing = {
+export type EndpointStatus = {
 	/** This host's load on the endpoint, as a fraction of the endpoint's capacity. */
 	readonly load: number;
 	readonly isUsable: boolean;
 	/** Recent failure rate, from 0 to 1. */
-	readonly badness: number;
+	readonly failureRate: number;
 	readonly hasConnection: boolean;
 	/** The endpoint recently rejected a request of this size for lack of room. */
 	readonly isFull: boolean;
 	/** The endpoint belongs to another subset, so its load from other hosts is unknown. */
-	readonly isOfOtherSubset: boolean;
+	readonly isInOtherSubset: boolean;
 	/** The endpoint is rate-limited and recently received a request. */
 	readonly isLimited: boolean;
 	/** The endpoint is ramping up after a backoff period, and this request is not among those it gets. */
@@ -27,11 +27,11 @@
 /** Cost terms, each in units of one endpoint's full load. */
 export type PlacementWeights = {
 	/** Added for an endpoint in another hall. */
-	readonly farHall: number;
+	readonly otherHall: number;
 	/** Added if a connection must be opened. */
 	readonly newConnection: number;
 	/** Multiplied by the failure rate. */
-	readonly badness: number;
+	readonly failureRate: number;
 	/** Added for an endpoint in another subset. */
 	readonly otherSubset: number;
 	/** Upper bound of random noise, so that hosts with the same information do not all choose the same endpoint. */
@@ -48,14 +48,14 @@
 const rampingCost = 1;
 
 /** Returns the candidates in the order in which to try them; unusable and full ones come last. */
-export function orderEndpoints(candidates: readonly Endpoint[], standingOf: (endpoint: Endpoint) => Standing, hall: string, weights: PlacementWeights, random: Random): Endpoint[] {
+export function orderEndpoints(candidates: readonly Endpoint[], statusOf: (endpoint: Endpoint) => EndpointStatus, hall: string, weights: PlacementWeights, random: Random): Endpoint[] {
 	const scored = candidates.map(endpoint => {
-		const {load, isUsable, badness, hasConnection, isFull, isOfOtherSubset, isLimited, isRamping} = standingOf(endpoint);
+		const {load, isUsable, failureRate, hasConnection, isFull, isInOtherSubset, isLimited, isRamping} = statusOf(endpoint);
 		const cost = load
-			+ (endpoint.hall === hall ? 0 : weights.farHall)
+			+ (endpoint.hall === hall ? 0 : weights.otherHall)
 			+ (hasConnection ? 0 : weights.newConnection)
-			+ (weights.badness * badness)
-			+ (isOfOtherSubset ? weights.otherSubset : 0)
+			+ (weights.failureRate * failureRate)
+			+ (isInOtherSubset ? weights.otherSubset : 0)
 			+ (weights.noise * random.next())
 			+ (isLimited ? limitedCost : 0)
 			+ (isRamping ? rampingCost : 0)
--- a/packages/policy/src/relay/reading-limit.ts
+++ b/packages/policy/src/relay/prefill-limit.ts
@@ -12,17 +12,17 @@
 const firstStepsMs = 100;
 
 /** Input of the limit. */
-export type ReadingWish = {
+export type PrefillLimitInput = {
 	/** Target time to the first event, in milliseconds. */
 	readonly targetMs: number;
 	/** Time until the target, in milliseconds. */
 	readonly leftMs: number;
 	/** The caller is retrying after a rejection, or resuming a stream. */
-	readonly isReturned: boolean;
+	readonly isRetry: boolean;
 };
 
 /** Returns the maximum expected prefill time, including the queue, in milliseconds. */
-export function mostReadingMs({targetMs, leftMs, isReturned}: ReadingWish): number {
+export function maxPrefillWaitMs({targetMs, leftMs, isRetry}: PrefillLimitInput): number {
 	const availableMs = leftMs - firstStepsMs;
-	return isReturned || availableMs <= 0 ? lateFraction * targetMs : Math.min(onTimeFraction * targetMs, availableMs);
+	return isRetry || availableMs <= 0 ? lateFraction * targetMs : Math.min(onTimeFraction * targetMs, availableMs);
 }
--- a/packages/policy/src/relay/reading-queue.test.ts
+++ b/packages/policy/src/relay/prefill-queue.test.ts
@@ -2,49 +2,49 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {seedRandom} from '../utils/random.js';
-import {ReadingQueue} from './reading-queue.js';
+import {PrefillQueue} from './prefill-queue.js';
 
-const empty = new ReadingQueue().expect(1000, 0);
+const empty = new PrefillQueue().estimateMs(1000, 0);
 
 describe('prefill queue', () => {
 	it('includes prompts of other hosts', () => {
-		const queue = new ReadingQueue();
+		const queue = new PrefillQueue();
 		queue.add(2000, 0);
-		expect(queue.expect(1000, 0) - empty).toEqual(70);
+		expect(queue.estimateMs(1000, 0) - empty).toEqual(70);
 	});
 
 	it('shrinks over time', () => {
-		const queue = new ReadingQueue();
+		const queue = new PrefillQueue();
 		queue.add(2000, 0);
-		expect(queue.expect(1000, 100)).toEqual(empty);
+		expect(queue.estimateMs(1000, 100)).toEqual(empty);
 	});
 
 	it('infers an unreported queue from an overdue prompt', () => {
-		const queue = new ReadingQueue();
-		queue.begin(1000, 0);
-		expect(queue.expect(1000, 500)).toEqual(empty + 500 - empty);
+		const queue = new PrefillQueue();
+		queue.start(1000, 0);
+		expect(queue.estimateMs(1000, 500)).toEqual(empty + 500 - empty);
 	});
 
 	it('infers nothing from an abandoned prompt', () => {
-		const queue = new ReadingQueue();
-		queue.abandon(queue.begin(1000, 0));
-		expect(queue.expect(1000, 500)).toEqual(empty);
+		const queue = new PrefillQueue();
+		queue.abandon(queue.start(1000, 0));
+		expect(queue.estimateMs(1000, 500)).toEqual(empty);
 	});
 
 	it('expects an unreported delay to affect the next prompt', () => {
-		const queue = new ReadingQueue();
-		queue.finish(queue.begin(1000, 0), 600);
-		expect(queue.expect(1000, 600) > empty + 300).toEqual(true);
+		const queue = new PrefillQueue();
+		queue.complete(queue.start(1000, 0), 600);
+		expect(queue.estimateMs(1000, 600) > empty + 300).toEqual(true);
 	});
 
 	it('assumes a full replica after a rejection', () => {
-		const queue = new ReadingQueue();
-		queue.refuse(0);
-		expect(queue.expect(1000, 0)).toEqual(empty + 500);
+		const queue = new PrefillQueue();
+		queue.recordRejection(0);
+		expect(queue.estimateMs(1000, 0)).toEqual(empty + 500);
 	});
 
 	it('scales the time per token of a slower replica', () => {
-		expect(new ReadingQueue(2).expect(1000, 0) - empty).toEqual(35);
+		expect(new PrefillQueue(2).estimateMs(1000, 0) - empty).toEqual(35);
 	});
 
 	const speeds = [
@@ -54,15 +54,15 @@
 	for (const {name, tokenMs, offsetMs} of speeds) {
 		it(name, () => {
 			const random = seedRandom(7);
-			const queue = new ReadingQueue();
+			const queue = new PrefillQueue();
 			for (let at = 0; at < 300_000; at += 1000) {
 				const tokens = 500 + (random.next() * 5000);
-				const reading = queue.begin(tokens, at);
-				queue.finish(reading, at + offsetMs + (tokens * tokenMs));
+				const reading = queue.start(tokens, at);
+				queue.complete(reading, at + offsetMs + (tokens * tokenMs));
 			}
 
 			expect(Math.abs(queue.tokenMs - tokenMs) < 0.05 * tokenMs).toEqual(true);
-			expect(Math.abs(queue.expect(3000, 400_000) - offsetMs - (3000 * tokenMs)) < 10).toEqual(true);
+			expect(Math.abs(queue.estimateMs(3000, 400_000) - offsetMs - (3000 * tokenMs)) < 10).toEqual(true);
 		});
 	}
 
@@ -73,14 +73,14 @@
 	for (const {name, tokens, count} of lengths) {
 		it(name, () => {
 			const random = seedRandom(9);
-			const queue = new ReadingQueue();
+			const queue = new PrefillQueue();
 			const {tokenMs} = queue;
 			for (let at = 0; at < count * 1000; at += 1000) {
-				queue.finish(queue.begin(tokens, at), at + 250 + (20 * random.next()));
+				queue.complete(queue.start(tokens, at), at + 250 + (20 * random.next()));
 			}
 
 			expect(queue.tokenMs).toEqual(tokenMs);
-			expect(Math.abs(queue.expect(tokens, (count + 1) * 1000) - 260) < 10).toEqual(true);
+			expect(Math.abs(queue.estimateMs(tokens, (count + 1) * 1000) - 260) < 10).toEqual(true);
 		});
 	}
 });
--- a/packages/policy/src/relay/reading-queue.ts
+++ b/packages/policy/src/relay/prefill-queue.ts
@@ -32,7 +32,7 @@
 const rejectedQueueMs = 500;
 
 /** A prompt that this host sent; times are in milliseconds. */
-export type Reading = {
+export type PendingPrefill = {
 	readonly tokens: number;
 	readonly sentAt: number;
 	readonly queuedMs: number;
@@ -40,8 +40,8 @@
 };
 
 /** Estimated prefill queue of one replica; times are in milliseconds. */
-export class ReadingQueue {
-	readonly #own = new Set<Reading>();
+export class PrefillQueue {
+	readonly #own = new Set<PendingPrefill>();
 	readonly #fit: PrefillTimeFit;
 	#idleAt = 0;
 
@@ -61,24 +61,24 @@
 	}
 
 	/** Returns the expected time until a new prompt is processed, in milliseconds. */
-	expect(tokens: number, now: number): number {
+	estimateMs(tokens: number, now: number): number {
 		return this.#queued(now) + (tokens * this.tokenMs) + this.#fit.offsetMs;
 	}
 
 	/** Records a prompt sent by this host. */
-	begin(tokens: number, now: number): Reading {
-		const reading = {
-			tokens, sentAt: now, queuedMs: this.#queued(now), expectedMs: this.expect(tokens, now),
+	start(tokens: number, now: number): PendingPrefill {
+		const pending = {
+			tokens, sentAt: now, queuedMs: this.#queued(now), expectedMs: this.estimateMs(tokens, now),
 		};
-		this.#own.add(reading);
+		this.#own.add(pending);
 		this.add(tokens, now);
-		return reading;
+		return pending;
 	}
 
 	/** Records that a prompt of this host was processed. */
-	finish(reading: Reading, now: number): void {
-		const {tokens, sentAt, queuedMs, expectedMs} = reading;
-		this.#own.delete(reading);
+	complete(pending: PendingPrefill, now: number): void {
+		const {tokens, sentAt, queuedMs, expectedMs} = pending;
+		this.#own.delete(pending);
 		const tookMs = now - sentAt;
 		if (queuedMs < emptyMs) {
 			this.#fit.note(tokens, Math.min(tookMs, expectedMs + maxExcessMs));
@@ -91,12 +91,12 @@
 	}
 
 	/** Removes a prompt of this host that failed or was cancelled. */
-	abandon(reading: Reading): void {
-		this.#own.delete(reading);
+	abandon(pending: PendingPrefill): void {
+		this.#own.delete(pending);
 	}
 
 	/** Records that the replica rejected a prompt for lack of room. */
-	refuse(now: number): void {
+	recordRejection(now: number): void {
 		this.#idleAt = Math.max(this.#idleAt, now + rejectedQueueMs);
 	}
 
--- a/packages/policy/src/relay/quota-account.ts
+++ b/packages/policy/src/relay/quota-account.ts
@@ -9,7 +9,7 @@
 import {type QuotaGrant} from './quota-window.js';
 
 /** Lifetime of a grant, in milliseconds: a busy host requests one or two a second. What is unused then is lost. */
-export const partLifeMs = 1500;
+export const grantLifetimeMs = 1500;
 /** Expected use that a request for a grant covers, in milliseconds: less than a grant's lifetime, so that little expires unused. */
 const prefetchMs = 900;
 /** Time constant of the average use, in milliseconds. */
@@ -18,7 +18,7 @@
 const renewFraction = 0.4;
 
 /** Decision about a request; `unknown` means that the coordinator must be asked. */
-export type AccountAnswer = 'granted' | 'unknown' | 'refused';
+export type QuotaDecision = 'granted' | 'unknown' | 'refused';
 
 /** One workspace's balance on one host; times are in milliseconds, amounts in the quota's unit. */
 export class QuotaAccount {
@@ -40,12 +40,12 @@
 	}
 
 	/** Remaining quota in the coordinator's last answer, or undefined before the first. */
-	get levelHeard(): number | undefined {
+	get lastReportedLevel(): number | undefined {
 		return this.#lastReport?.level;
 	}
 
 	/** Charges a request's cost if the balance or `credit` covers it. */
-	take(cost: number, credit: number, now: number): AccountAnswer {
+	take(cost: number, credit: number, now: number): QuotaDecision {
 		const balance = this.balance(now);
 		const isRefused = now < this.#refusedUntil;
 		if (balance >= cost || (!isRefused && balance + credit >= cost)) {
@@ -62,7 +62,7 @@
 	}
 
 	/** Returns the amounts to request: `least` covers waiting requests and debt, `wanted` adds the expected use. */
-	wish(waiting: number, now: number): {least: number; wanted: number; heard: QuotaLevel | undefined} {
+	buildRequest(waiting: number, now: number): {least: number; wanted: number; heard: QuotaLevel | undefined} {
 		const debt = Math.max(0, -this.balance(now));
 		const least = waiting + debt;
 		const heard = this.#lastReport === undefined ? undefined : {level: this.#lastReport.level, keeper: this.#lastReport.keeper, ageMs: Math.max(0, now - this.#lastReport.at)};
@@ -74,7 +74,7 @@
 		this.#lastReport = {level, keeper, at: now};
 		if (granted > 0) {
 			this.#balance = this.balance(now) + granted;
-			this.#expiresAt = now + partLifeMs;
+			this.#expiresAt = now + grantLifetimeMs;
 			return;
 		}
 
@@ -82,7 +82,7 @@
 	}
 
 	/** Refunds what a request did not use. */
-	giveBack(cost: number, now: number): void {
+	refund(cost: number, now: number): void {
 		this.#balance = this.balance(now) + cost;
 	}
 
--- a/packages/policy/src/relay/quota-keeper.ts
+++ b/packages/policy/src/relay/quota-coordinator.ts
@@ -7,14 +7,14 @@
 import {rank} from '../core/rendezvous.js';
 
 /** Fraction of a quota that a stand-in may grant when the coordinator does not answer: until failure detection removes the coordinator, both may be granting. */
-export const standInShare = 0.25;
+export const standInFraction = 0.25;
 
 /** Ranks the hosts that may coordinate a workspace's quota, preferred first. */
-export function rankKeepers(workspace: string, hosts: readonly string[]): string[] {
+export function rankCoordinators(workspace: string, hosts: readonly string[]): string[] {
 	return rank(`quota ${workspace}`, hosts);
 }
 
-/** Returns the fraction of a quota, from 0 to 1, that `heard` reachable hosts out of `known` may grant. */
-export function shareOf(heard: number, known: number): number {
-	return Math.min(1, heard / Math.max(1, known));
+/** Returns the fraction of a quota, from 0 to 1, for `reachable` hosts out of `total`. */
+export function reachableShare(reachable: number, total: number): number {
+	return Math.min(1, reachable / Math.max(1, total));
 }
--- a/packages/policy/src/relay/quota-window.ts
+++ b/packages/policy/src/relay/quota-window.ts
@@ -37,7 +37,7 @@
 };
 
 /** A host's request for a grant, in the quota's unit. */
-export type QuotaWish = {
+export type QuotaRequest = {
 	/** Amount for waiting requests. */
 	readonly least: number;
 	/** Amount for waiting and expected requests. */
@@ -96,7 +96,7 @@
 	}
 
 	/** Grants as much of a request as possible, or assigns a retry time. */
-	take({least, wanted, heard}: QuotaWish, now: number): QuotaGrant {
+	grant({least, wanted, heard}: QuotaRequest, now: number): QuotaGrant {
 		this.#recover(heard, now);
 		const granted = this.#computeGrant(least, wanted, now);
 		this.#bucketAt(now).used += granted;
--- a/packages/policy/src/relay/quota.test.ts
+++ b/packages/policy/src/relay/quota.test.ts
@@ -4,9 +4,9 @@
 import fc from 'fast-check';
 import {type Quota} from '@gatehead/schema/routing';
 import {seedRandom} from '../utils/random.js';
-import {partLifeMs, QuotaAccount} from './quota-account.js';
+import {grantLifetimeMs, QuotaAccount} from './quota-account.js';
 import {QuotaWindow} from './quota-window.js';
-import {rankKeepers, shareOf, standInShare} from './quota-keeper.js';
+import {rankCoordinators, reachableShare, standInFraction} from './quota-coordinator.js';
 
 const windowMs = 8000;
 const tolerance = {quotaExcess: 0.25, quotaAllowance: 140_000, quotaWindowMs: windowMs};
@@ -59,7 +59,7 @@
 		}
 
 		const window = this.#windowOf(side.name, side.share, now);
-		account.receive(window.take(account.wish(cost, now), now), now);
+		account.receive(window.grant(account.buildRequest(cost, now), now), now);
 		return account.take(cost, 0, now) === 'granted' ? cost : 0;
 	}
 
@@ -124,7 +124,7 @@
 		for (due += perStep; due >= 1; due -= 1) {
 			const host = Math.floor(random.next() * hosts);
 			const cost = random.next() < promptShare ? promptCost : plainCost;
-			const side = isSplit ? {name: `side ${host % 2}`, share: shareOf(hosts / 2, hosts)} : {name: 'whole', share: 1};
+			const side = isSplit ? {name: `side ${host % 2}`, share: reachableShare(hosts / 2, hosts)} : {name: 'whole', share: 1};
 			asked += cost;
 			const used = fleet.request(host, cost, now, side);
 			if (used > 0) {
@@ -221,7 +221,7 @@
 	it('admits a small request on credit before the first grant, but not a large one', () => {
 		const account = new QuotaAccount();
 		expect([account.take(200, 397, 0), account.take(200, 397, 0), account.take(5273, 397, 0)]).toEqual(['granted', 'unknown', 'unknown']);
-		expect(account.wish(0, 0).least).toEqual(200);
+		expect(account.buildRequest(0, 0).least).toEqual(200);
 	});
 
 	it('does not use an expired grant', () => {
@@ -229,8 +229,8 @@
 		account.receive({
 			granted: 1000, waitMs: 0, level: 0, keeper: 'k',
 		}, 0);
-		expect(account.take(500, 0, partLifeMs - 1)).toEqual('granted');
-		expect(account.take(500, 0, partLifeMs)).toEqual('unknown');
+		expect(account.take(500, 0, grantLifetimeMs - 1)).toEqual('granted');
+		expect(account.take(500, 0, grantLifetimeMs)).toEqual('unknown');
 	});
 
 	it('gives no credit until the retry time of a refusal', () => {
@@ -249,7 +249,7 @@
 			granted: 1000, waitMs: 0, level: 0, keeper: 'k',
 		}, 0);
 		expect([account.take(1000, 0, 1), account.take(1000, 0, 2)]).toEqual(['granted', 'unknown']);
-		account.giveBack(1000, 3);
+		account.refund(1000, 3);
 		expect(account.take(1000, 0, 4)).toEqual('granted');
 	});
 
@@ -272,7 +272,7 @@
 		const window = new QuotaWindow('keeper', {...makeQuota(1000), burst: 4000}, strict, 1, 0);
 		let granted = 0;
 		for (let now = 0; now < 4 * windowMs; now += 100) {
-			granted += window.take({least: 200, wanted: 200}, now).granted;
+			granted += window.grant({least: 200, wanted: 200}, now).granted;
 		}
 
 		expect(granted / (4 * windowMs) > 0.0013).toEqual(true);
@@ -280,49 +280,49 @@
 
 	it('assigns distinct retry times to hosts that get nothing', () => {
 		const window = new QuotaWindow('keeper', {...makeQuota(2000), burst: 0}, strict, 1, 0);
-		const waits = Array.from({length: 4}, () => window.take({least: 1000, wanted: 1000}, 0).waitMs);
+		const waits = Array.from({length: 4}, () => window.grant({least: 1000, wanted: 1000}, 0).waitMs);
 		expect(waits).toEqual([500, 1000, 1500, 2000]);
 	});
 
 	it('counts all but the burst of the previous window as used at start', () => {
 		const window = new QuotaWindow('keeper', {...makeQuota(1000), burst: 3000}, strict, 1, 0);
-		expect([window.take({least: 3000, wanted: 3000}, 0).granted, window.take({least: 500, wanted: 500}, 0).granted]).toEqual([3000, 0]);
-		expect(window.take({least: 3500, wanted: 3500}, windowMs / 2).granted).toEqual(3500);
+		expect([window.grant({least: 3000, wanted: 3000}, 0).granted, window.grant({least: 500, wanted: 500}, 0).granted]).toEqual([3000, 0]);
+		expect(window.grant({least: 3500, wanted: 3500}, windowMs / 2).granted).toEqual(3500);
 	});
 
 	it('recovers the predecessor\'s grants from host reports', () => {
 		const begin = () => new QuotaWindow('keeper', {...makeQuota(1000), burst: 8000}, strict, 1, 0);
-		expect(begin().take({least: 1000, wanted: 1000}, 0).granted).toEqual(1000);
-		expect(begin().take({least: 1000, wanted: 1000, heard: {level: 0, keeper: 'other', ageMs: 100}}, 0).granted).toEqual(0);
-		expect(begin().take({least: 1000, wanted: 1000, heard: {level: 0, keeper: 'other', ageMs: 2600}}, 0).granted).toEqual(1000);
+		expect(begin().grant({least: 1000, wanted: 1000}, 0).granted).toEqual(1000);
+		expect(begin().grant({least: 1000, wanted: 1000, heard: {level: 0, keeper: 'other', ageMs: 100}}, 0).granted).toEqual(0);
+		expect(begin().grant({least: 1000, wanted: 1000, heard: {level: 0, keeper: 'other', ageMs: 2600}}, 0).granted).toEqual(1000);
 	});
 
 	it('caps earlier use at the new rate after a reduction', () => {
 		const window = new QuotaWindow('keeper', makeQuota(10_000), strict, 1, 0);
 		for (let now = 0; now < windowMs; now += 100) {
-			window.take({least: 1000, wanted: 1000}, now);
+			window.grant({least: 1000, wanted: 1000}, now);
 		}
 
 		window.adjust({...makeQuota(1000), burst: 2000}, 1, windowMs);
-		expect(window.take({least: 2000, wanted: 2000}, windowMs).granted).toEqual(2000);
-		expect(window.take({least: 1000, wanted: 1000}, windowMs).granted).toEqual(0);
+		expect(window.grant({least: 2000, wanted: 2000}, windowMs).granted).toEqual(2000);
+		expect(window.grant({least: 1000, wanted: 1000}, windowMs).granted).toEqual(0);
 	});
 
 	it('admits a request above the window\'s capacity once the window is clear', () => {
 		const window = new QuotaWindow('keeper', {...makeQuota(100), burst: 500}, strict, 1, 0);
-		const takeAt = (now: number) => window.take({least: 5000, wanted: 5000}, now).granted;
+		const takeAt = (now: number) => window.grant({least: 5000, wanted: 5000}, now).granted;
 		expect([takeAt(0), takeAt(100), takeAt(windowMs), takeAt(windowMs + 1000)]).toEqual([5000, 0, 0, 5000]);
 	});
 
 	it('is the same for all hosts with the same members and differs between workspaces', () => {
 		const hosts = Array.from({length: 30}, (_, index) => `host-${index}`);
-		expect(rankKeepers('a', hosts)).toEqual(rankKeepers('a', [...hosts].toReversed()));
-		const keepers = new Set(Array.from({length: 16}, (_, index) => rankKeepers(`workspace-${index}`, hosts)[0]));
+		expect(rankCoordinators('a', hosts)).toEqual(rankCoordinators('a', [...hosts].toReversed()));
+		const keepers = new Set(Array.from({length: 16}, (_, index) => rankCoordinators(`workspace-${index}`, hosts)[0]));
 		expect(keepers.size > 8).toEqual(true);
 	});
 
 	it('grants a smaller share when hosts are unreachable or as a stand-in', () => {
-		expect([shareOf(88, 88), shareOf(80, 88), shareOf(44, 88), shareOf(0, 0)]).toEqual([1, 10 / 11, 0.5, 0]);
-		expect(standInShare < 0.5).toEqual(true);
+		expect([reachableShare(88, 88), reachableShare(80, 88), reachableShare(44, 88), reachableShare(0, 0)]).toEqual([1, 10 / 11, 0.5, 0]);
+		expect(standInFraction < 0.5).toEqual(true);
 	});
 });
--- a/packages/policy/src/relay/rate-granter.ts
+++ b/packages/policy/src/relay/rate-granter.ts
@@ -12,7 +12,7 @@
  * The bound does not depend on failure detection; losing a granter only
  * reduces the rate.
  */
-import {shareLifeMs} from './rate-share.js';
+import {shareLifetimeMs} from './rate-share.js';
 
 /** Minimum share to grant permits: bounds the number of granters, and with it the accumulated tokens. */
 const minShare = 0.25;
@@ -59,9 +59,9 @@
 	#lastRound = 0;
 
 	/** Starts a round of requests for shares. Returns its number, which the answers repeat. */
-	openRound(now: number): number {
+	startRound(now: number): number {
 		for (const [round, sentAt] of this.#rounds) {
-			if (now - sentAt >= shareLifeMs) {
+			if (now - sentAt >= shareLifetimeMs) {
 				this.#rounds.delete(round);
 			}
 		}
@@ -72,15 +72,15 @@
 	}
 
 	/** Records a share lent by a host. Its lifetime starts when the round was sent, before the host lent it, so that it expires here first. */
-	receive(host: string, round: number, share: number, now: number): void {
+	addShare(host: string, round: number, share: number, now: number): void {
 		const sentAt = this.#rounds.get(round);
 		const known = this.#loans.get(host);
-		if (sentAt === undefined || (known !== undefined && known.until > sentAt + shareLifeMs)) {
+		if (sentAt === undefined || (known !== undefined && known.until > sentAt + shareLifetimeMs)) {
 			return;
 		}
 
 		this.#refill(now);
-		this.#loans.set(host, {share, until: sentAt + shareLifeMs});
+		this.#loans.set(host, {share, until: sentAt + shareLifetimeMs});
 	}
 
 	/** Returns the sum of the unexpired shares, from 0 to 1. */
@@ -98,7 +98,7 @@
 	}
 
 	/** Grants up to `wanted` permits for an endpoint limited to `limitPerS` requests per second. */
-	take(endpoint: string, limitPerS: number, wanted: number, now: number): RateGrant {
+	grant(endpoint: string, limitPerS: number, wanted: number, now: number): RateGrant {
 		const share = this.share(now);
 		const bucket = this.#bucketOf(endpoint, Math.max(minLimitPerS, limitPerS), now);
 		this.#refill(now);
--- a/packages/policy/src/relay/rate-permits.ts
+++ b/packages/policy/src/relay/rate-permits.ts
@@ -9,7 +9,7 @@
 /** Time after the request in which a permit may be taken, in milliseconds; the rest of its lifetime is for opening a connection. */
 const takeWithinMs = 500;
 /** Time after the request in which a permit must be used, in milliseconds. */
-export const permitLifeMs = 1000;
+export const permitLifetimeMs = 1000;
 /** Expected demand that a request for permits covers, in milliseconds: less than the time in which a permit may be taken, so that few expire. */
 const prefetchMs = 200;
 /** Time constant of the average demand, in milliseconds. */
@@ -18,11 +18,11 @@
 /** Permission to send one request. */
 export type Permit = {
 	/** Deadline for sending the first byte, in milliseconds. */
-	readonly leaveBy: number;
+	readonly sendBy: number;
 };
 
 /** Permit for an endpoint without a rate limit. */
-export const unlimited: Permit = {leaveBy: Number.POSITIVE_INFINITY};
+export const unlimitedPermit: Permit = {sendBy: Number.POSITIVE_INFINITY};
 
 /** Unused permits and the average demand; times are in milliseconds. */
 export class RatePermits {
@@ -31,14 +31,14 @@
 	#demandAt = 0;
 
 	/** Records a request for the endpoint. */
-	noteDemand(now: number): void {
+	recordDemand(now: number): void {
 		this.#demand = this.#averageDemand(now) + 1;
 		this.#demandAt = now;
 	}
 
 	/** Takes a permit, or returns undefined if none is left. */
 	take(now: number): Permit | undefined {
-		this.#permits = this.#permits.filter(({leaveBy}) => leaveBy - now > permitLifeMs - takeWithinMs);
+		this.#permits = this.#permits.filter(({sendBy}) => sendBy - now > permitLifetimeMs - takeWithinMs);
 		return this.#permits.shift();
 	}
 
@@ -48,14 +48,14 @@
 	}
 
 	/** Adds the permits of an answer to a request made at `askedAt`. */
-	receive({granted}: RateGrant, askedAt: number): void {
+	add({granted}: RateGrant, askedAt: number): void {
 		for (let index = 0; index < granted; index += 1) {
-			this.#permits.push({leaveBy: askedAt + permitLifeMs});
+			this.#permits.push({sendBy: askedAt + permitLifetimeMs});
 		}
 	}
 
 	/** Returns an unused permit. */
-	giveBack(permit: Permit): void {
+	putBack(permit: Permit): void {
 		this.#permits.unshift(permit);
 	}
 
--- a/packages/policy/src/relay/rate-share.ts
+++ b/packages/policy/src/relay/rate-share.ts
@@ -8,7 +8,7 @@
 import {type Owner} from '@gatehead/schema/engine-protocol';
 
 /** Lifetime of a lent share, in milliseconds: it survives two lost rounds. */
-export const shareLifeMs = 2500;
+export const shareLifetimeMs = 2500;
 
 /** Tracks which granter holds this host's share. */
 export class RateShare {
@@ -23,12 +23,12 @@
 
 	/** Lends the share to a granter. Returns false if another process may still hold it. */
 	lend(granter: Owner, now: number): boolean {
-		if (now - this.#startedAt < shareLifeMs || (now < this.#heldUntil && !this.#isSuccessor(granter))) {
+		if (now - this.#startedAt < shareLifetimeMs || (now < this.#heldUntil && !this.#isSuccessor(granter))) {
 			return false;
 		}
 
 		this.#holder = granter;
-		this.#heldUntil = now + shareLifeMs;
+		this.#heldUntil = now + shareLifetimeMs;
 		return true;
 	}
 
--- a/packages/policy/src/relay/release-rate.ts
+++ b/packages/policy/src/relay/release-rate.ts
@@ -26,7 +26,7 @@
 	}
 
 	/** Number of completed requests. */
-	get seen(): number {
+	get completedCount(): number {
 		return this.#seen;
 	}
 
--- a/packages/policy/src/relay/retry-budget.test.ts
+++ b/packages/policy/src/relay/retry-budget.test.ts
@@ -44,7 +44,7 @@
 		it(name, () => {
 			const budget = new RetryBudget(rule, () => hosts);
 			for (let request = 0; request < requests; request += 1) {
-				budget.arrive(0);
+				budget.recordRequest(0);
 			}
 
 			expect(takeAll(budget, laterMs)).toEqual(granted);
@@ -61,7 +61,7 @@
 			for (const {host, waitMs, isRequest} of steps) {
 				now += waitMs;
 				if (isRequest) {
-					budgets[host]?.arrive(now);
+					budgets[host]?.recordRequest(now);
 					requests.push(now);
 				} else if (budgets[host]?.take(now)) {
 					extras.push(now);
--- a/packages/policy/src/relay/retry-budget.ts
+++ b/packages/policy/src/relay/retry-budget.ts
@@ -38,7 +38,7 @@
 	}
 
 	/** Records a new request. */
-	arrive(now: number): void {
+	recordRequest(now: number): void {
 		this.#bucketAt(now).requests += 1;
 	}
 
--- a/packages/policy/src/relay/second-tries.test.ts
+++ b/packages/policy/src/relay/retry-detector.test.ts
@@ -1,7 +1,7 @@
 /** A retry must be recognized by its shorter timeout, and a first attempt not mistaken for one. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {SecondTries} from './second-tries.js';
+import {RetryDetector} from './retry-detector.js';
 
 type Case = {
 	readonly name: string;
@@ -24,7 +24,7 @@
 describe('retry detection', () => {
 	for (const {name, timeouts, isRetry} of cases) {
 		it(name, () => {
-			const tries = new SecondTries();
+			const tries = new RetryDetector();
 			let last = false;
 			for (const timeoutMs of timeouts) {
 				last = tries.note('route', timeoutMs);
@@ -35,7 +35,7 @@
 	}
 
 	it('keeps routes separate', () => {
-		const tries = new SecondTries();
+		const tries = new RetryDetector();
 		tries.note('patient', 60_000);
 		expect(tries.note('other', 14_000)).toEqual(false);
 	});
--- a/packages/policy/src/relay/second-tries.ts
+++ b/packages/policy/src/relay/retry-detector.ts
@@ -25,7 +25,7 @@
 };
 
 /** Detects retries on all routes. */
-export class SecondTries {
+export class RetryDetector {
 	readonly #routes = new Map<string, RecentTimeouts>();
 
 	/** Records a request's remaining timeout, in milliseconds. Returns whether the request is a retry. */
--- a/packages/policy/src/relay/route-table.test.ts
+++ b/packages/policy/src/relay/route-table.test.ts
@@ -69,7 +69,7 @@
 		const split = table.match('b.example', '/split/1');
 		let plain = 0;
 		for (let draw = 0; draw < 1000; draw += 1) {
-			plain += Number(split !== undefined && table.draw(split, random)?.name === 'plain');
+			plain += Number(split !== undefined && table.chooseService(split, random)?.name === 'plain');
 		}
 
 		expect(plain > 60 && plain < 140).toEqual(true);
--- a/packages/policy/src/relay/route-table.ts
+++ b/packages/policy/src/relay/route-table.ts
@@ -63,7 +63,7 @@
 	}
 
 	/** Chooses one of a route's services at random, by weight. */
-	draw({shares}: Route, random: Random): Service | undefined {
+	chooseService({shares}: Route, random: Random): Service | undefined {
 		const total = shares.reduce((sum, {weight}) => sum + weight, 0);
 		let point = random.next() * total;
 		for (const {service, weight} of shares) {
--- a/packages/policy/src/relay/stage-split.test.ts
+++ b/packages/policy/src/relay/stage-split.test.ts
@@ -3,7 +3,7 @@
 import {type Endpoint} from '@gatehead/schema/routing';
 import {expect} from 'earl';
 import {
-	bestPrefill, serviceRate, StageSplit, type Paces,
+	bestPrefill, serviceRate, StageSplit, type StageThroughput,
 } from './stage-split.js';
 
 function replicas(prefill: number, decode: number): Endpoint[] {
@@ -12,76 +12,76 @@
 	}));
 }
 
-const typical: Paces = {
-	prefillPerS: 10, decodePerS: 3, seen: 100, isShort: false,
+const typical: StageThroughput = {
+	prefillPerS: 10, decodePerS: 3, sampleCount: 100, isMemoryShort: false,
 };
-const unobserved: Paces = {...typical, seen: 0};
+const unobserved: StageThroughput = {...typical, sampleCount: 0};
 
 type Case = {
 	readonly name: string;
 	readonly prefill: number;
 	readonly decode: number;
-	readonly paces: Paces;
+	readonly throughput: StageThroughput;
 	readonly broken?: readonly string[];
 	readonly changes: ReadonlyArray<'prefill' | 'decode'>;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'applies the initial share at once before any request', prefill: 5, decode: 8, paces: unobserved, changes: ['decode', 'decode'],
+		name: 'applies the initial share at once before any request', prefill: 5, decode: 8, throughput: unobserved, changes: ['decode', 'decode'],
 	},
 	{
-		name: 'keeps the initial share', prefill: 3, decode: 10, paces: unobserved, changes: [],
+		name: 'keeps the initial share', prefill: 3, decode: 10, throughput: unobserved, changes: [],
 	},
 	{
-		name: 'ignores too few observations', prefill: 5, decode: 8, paces: {...typical, seen: 5}, changes: [],
+		name: 'ignores too few observations', prefill: 5, decode: 8, throughput: {...typical, sampleCount: 5}, changes: [],
 	},
 	{
-		name: 'changes surplus prefill replicas one at a time', prefill: 5, decode: 8, paces: typical, changes: ['decode'],
+		name: 'changes surplus prefill replicas one at a time', prefill: 5, decode: 8, throughput: typical, changes: ['decode'],
 	},
 	{
-		name: 'keeps one prefill replica for a reduced fleet', prefill: 2, decode: 3, paces: typical, changes: ['decode'],
+		name: 'keeps one prefill replica for a reduced fleet', prefill: 2, decode: 3, throughput: typical, changes: ['decode'],
 	},
 	{
-		name: 'keeps the last prefill replica', prefill: 1, decode: 2, paces: typical, changes: [],
+		name: 'keeps the last prefill replica', prefill: 1, decode: 2, throughput: typical, changes: [],
 	},
 	{
-		name: 'replaces a lost prefill replica', prefill: 0, decode: 5, paces: typical, changes: ['prefill'],
+		name: 'replaces a lost prefill replica', prefill: 0, decode: 5, throughput: typical, changes: ['prefill'],
 	},
 	{
-		name: 'keeps decode replicas while requests wait for memory', prefill: 0, decode: 5, paces: {...typical, isShort: true}, changes: [],
+		name: 'keeps decode replicas while requests wait for memory', prefill: 0, decode: 5, throughput: {...typical, isMemoryShort: true}, changes: [],
 	},
 	{
-		name: 'keeps a second prefill replica if one is not enough', prefill: 2, decode: 4, paces: {...typical, prefillPerS: 8}, changes: [],
+		name: 'keeps a second prefill replica if one is not enough', prefill: 2, decode: 4, throughput: {...typical, prefillPerS: 8}, changes: [],
 	},
 	{
-		name: 'adds prefill replicas for longer prompts', prefill: 1, decode: 7, paces: {...typical, prefillPerS: 3}, changes: ['prefill'],
+		name: 'adds prefill replicas for longer prompts', prefill: 1, decode: 7, throughput: {...typical, prefillPerS: 3}, changes: ['prefill'],
 	},
 	{
-		name: 'does not change a decode replica for a small gain', prefill: 1, decode: 6, paces: typical, changes: [],
+		name: 'does not change a decode replica for a small gain', prefill: 1, decode: 6, throughput: typical, changes: [],
 	},
 	{
-		name: 'does not change an unusable replica', prefill: 3, decode: 5, paces: typical, broken: ['r0', 'r1', 'r2'], changes: [],
+		name: 'does not change an unusable replica', prefill: 3, decode: 5, throughput: typical, broken: ['r0', 'r1', 'r2'], changes: [],
 	},
 	{
-		name: 'does not change the only replica', prefill: 0, decode: 1, paces: typical, changes: [],
+		name: 'does not change the only replica', prefill: 0, decode: 1, throughput: typical, changes: [],
 	},
 ];
 
 describe('stage split', () => {
-	for (const {name, prefill, decode, paces, broken = [], changes} of cases) {
+	for (const {name, prefill, decode, throughput, broken = [], changes} of cases) {
 		it(name, () => {
 			const split = new StageSplit(0.25);
-			expect(split.choose(replicas(prefill, decode), paces, ({id}) => !broken.includes(id)).map(({stage}) => stage)).toEqual([...changes]);
+			expect(split.chooseChanges(replicas(prefill, decode), throughput, ({id}) => !broken.includes(id)).map(({stage}) => stage)).toEqual([...changes]);
 		});
 	}
 
 	it('finds the split with the highest throughput', () => {
 		for (const prefillPerS of [2, 5, 10, 40]) {
-			const paces = {...typical, prefillPerS};
-			const best = serviceRate(13, bestPrefill(13, paces), paces);
+			const throughput = {...typical, prefillPerS};
+			const best = serviceRate(13, bestPrefill(13, throughput), throughput);
 			for (let prefill = 1; prefill < 13; prefill += 1) {
-				expect(serviceRate(13, prefill, paces) <= best).toEqual(true);
+				expect(serviceRate(13, prefill, throughput) <= best).toEqual(true);
 			}
 		}
 	});
@@ -93,11 +93,11 @@
 
 	it('starts a large fleet near the best split for long prompts', () => {
 		// Prompts of 5,000 tokens take 0.12 s of prefill; their streams hold an eighth of a replica's memory for 3.4 s
-		const long: Paces = {...typical, prefillPerS: 8.3, decodePerS: 2.27};
-		const initial = 14 - new StageSplit(0.25).choose(replicas(14, 28), unobserved, () => true).length;
+		const long: StageThroughput = {...typical, prefillPerS: 8.3, decodePerS: 2.27};
+		const initial = 14 - new StageSplit(0.25).chooseChanges(replicas(14, 28), unobserved, () => true).length;
 		const best = bestPrefill(42, long);
 		expect([initial, best]).toEqual([11, 10]);
 		expect(serviceRate(42, initial, long) / serviceRate(42, best, long) > 0.95).toEqual(true);
-		expect(new StageSplit(0.25).choose(replicas(initial, 42 - initial), long, () => true)).toEqual([]);
+		expect(new StageSplit(0.25).chooseChanges(replicas(initial, 42 - initial), long, () => true)).toEqual([]);
 	});
 });
--- a/packages/policy/src/relay/stage-split.ts
+++ b/packages/policy/src/relay/stage-split.ts
@@ -6,7 +6,7 @@
 import {type Endpoint} from '@gatehead/schema/routing';
 
 /** Prefill time on a decode replica relative to a prefill replica; its own streams stall meanwhile. */
-export const decodeReadingFactor = 2;
+export const decodePrefillFactor = 2;
 /** Maximum planned utilization of a prefill replica: queueing delays grow close to full utilization. */
 const maxPrefillUtilization = 0.9;
 /** Minimum number of prefill replicas; decode replicas prefill the prompts that exceed their capacity. */
@@ -28,16 +28,16 @@
 };
 
 /** Observed throughput of one replica in either stage, in requests per second, and the number of requests observed. */
-export type Paces = {
+export type StageThroughput = {
 	readonly prefillPerS: number;
 	readonly decodePerS: number;
-	readonly seen: number;
+	readonly sampleCount: number;
 	/** Requests recently waited for decode memory, so no decode replica may be changed. */
-	readonly isShort: boolean;
+	readonly isMemoryShort: boolean;
 };
 
 /** Returns the throughput of `replicas` replicas of which `prefill` are in the prefill stage, in requests per second. */
-export function serviceRate(replicas: number, prefill: number, {prefillPerS, decodePerS}: Paces): number {
+export function serviceRate(replicas: number, prefill: number, {prefillPerS, decodePerS}: StageThroughput): number {
 	const decode = replicas - prefill;
 	const decodeLimitPerS = decodePerS * decode;
 	const usablePrefillPerS = maxPrefillUtilization * prefillPerS;
@@ -46,15 +46,15 @@
 	}
 
 	// Decode replicas prefill the remaining prompts, in addition to decoding all requests
-	const decodePrefillS = decodeReadingFactor / usablePrefillPerS;
-	return (decode + (decodeReadingFactor * prefill)) / ((1 / decodePerS) + decodePrefillS);
+	const decodePrefillS = decodePrefillFactor / usablePrefillPerS;
+	return (decode + (decodePrefillFactor * prefill)) / ((1 / decodePerS) + decodePrefillS);
 }
 
 /** Returns the number of prefill replicas with the highest throughput; the fewest among equals. */
-export function bestPrefill(replicas: number, paces: Paces): number {
+export function bestPrefill(replicas: number, throughput: StageThroughput): number {
 	let best = Math.min(minPrefill, replicas - 1);
 	for (let prefill = best + 1; prefill < replicas; prefill += 1) {
-		if (serviceRate(replicas, prefill, paces) > serviceRate(replicas, best, paces)) {
+		if (serviceRate(replicas, prefill, throughput) > serviceRate(replicas, best, throughput)) {
 			best = prefill;
 		}
 	}
@@ -65,8 +65,8 @@
 /** Stage split of one service. */
 export class StageSplit {
 	readonly #share: number;
-	#readMs = 0;
-	#read = 0;
+	#prefillMs = 0;
+	#prefillCount = 0;
 
 	/** `share` is the fraction of prefill replicas until requests were observed. */
 	constructor(share: number) {
@@ -74,28 +74,28 @@
 	}
 
 	/** Average time that a prompt occupies its prefill replica, in milliseconds; 0 before the first observation. */
-	get readMs(): number {
-		return this.#readMs;
+	get prefillMs(): number {
+		return this.#prefillMs;
 	}
 
 	/** Number of prompts observed. */
-	get read(): number {
-		return this.#read;
+	get prefillCount(): number {
+		return this.#prefillCount;
 	}
 
 	/** Records the time that a prompt occupied its prefill replica, in milliseconds. */
-	noteRead(busyMs: number): void {
-		this.#read += 1;
-		this.#readMs += Math.max(weight, 1 / this.#read) * (busyMs - this.#readMs);
+	recordPrefill(busyMs: number): void {
+		this.#prefillCount += 1;
+		this.#prefillMs += Math.max(weight, 1 / this.#prefillCount) * (busyMs - this.#prefillMs);
 	}
 
 	/** Returns the changes to order now: all at once before the first request, a few at a time under load. */
-	choose(replicas: readonly Endpoint[], paces: Paces, isUsable: (endpoint: Endpoint) => boolean): StageChange[] {
-		const maxChanges = paces.seen === 0 ? replicas.length : Math.max(1, Math.floor(replicas.length / replicasPerChange));
+	chooseChanges(replicas: readonly Endpoint[], throughput: StageThroughput, isUsable: (endpoint: Endpoint) => boolean): StageChange[] {
+		const maxChanges = throughput.sampleCount === 0 ? replicas.length : Math.max(1, Math.floor(replicas.length / replicasPerChange));
 		const changes: StageChange[] = [];
 		let left = replicas;
 		while (changes.length < maxChanges) {
-			const next = this.#chooseOne(left, paces, isUsable);
+			const next = this.#chooseOne(left, throughput, isUsable);
 			if (next === undefined) {
 				break;
 			}
@@ -107,34 +107,34 @@
 		return changes;
 	}
 
-	#chooseOne(replicas: readonly Endpoint[], paces: Paces, isUsable: (endpoint: Endpoint) => boolean): StageChange | undefined {
+	#chooseOne(replicas: readonly Endpoint[], throughput: StageThroughput, isUsable: (endpoint: Endpoint) => boolean): StageChange | undefined {
 		const prefill = replicas.filter(({stage}) => stage === 'prefill');
 		const decode = replicas.filter(({stage}) => stage === 'decode');
-		const stage = this.#findStage(replicas.length, prefill.length, paces);
+		const stage = this.#findStage(replicas.length, prefill.length, throughput);
 		if (stage === undefined) {
 			return undefined;
 		}
 
 		const [from, to] = stage === 'decode' ? [prefill, decode] : [decode, prefill];
-		return chooseReplica(from.filter(each => isUsable(each)), to, stage, `${prefill.length} of ${replicas.length} replicas prefill; requests per second and replica: ${paces.prefillPerS.toFixed(1)} prefill, ${paces.decodePerS.toFixed(1)} decode`);
+		return chooseReplica(from.filter(each => isUsable(each)), to, stage, `${prefill.length} of ${replicas.length} replicas prefill; requests per second and replica: ${throughput.prefillPerS.toFixed(1)} prefill, ${throughput.decodePerS.toFixed(1)} decode`);
 	}
 
 	/** Returns the stage that needs another replica, or undefined if the split should stay. */
-	#findStage(replicas: number, prefill: number, paces: Paces): StageChange['stage'] | undefined {
-		if (paces.seen === 0) {
+	#findStage(replicas: number, prefill: number, throughput: StageThroughput): StageChange['stage'] | undefined {
+		if (throughput.sampleCount === 0) {
 			const wanted = Math.max(Math.min(minPrefill, replicas - 1), Math.round(this.#share * replicas));
 			return prefill > wanted ? 'decode' : undefined;
 		}
 
-		const wanted = paces.seen < minSamples ? prefill : bestPrefill(replicas, paces);
+		const wanted = throughput.sampleCount < minSamples ? prefill : bestPrefill(replicas, throughput);
 		if (wanted === prefill) {
 			return undefined;
 		}
 
 		const stage = wanted < prefill ? 'decode' : 'prefill';
 		const next = prefill + (stage === 'decode' ? -1 : 1);
-		const gain = (serviceRate(replicas, next, paces) / serviceRate(replicas, prefill, paces)) - 1;
-		const isAllowed = stage === 'decode' || !paces.isShort;
+		const gain = (serviceRate(replicas, next, throughput) / serviceRate(replicas, prefill, throughput)) - 1;
+		const isAllowed = stage === 'decode' || !throughput.isMemoryShort;
 		return isAllowed && gain >= minGain[stage] ? stage : undefined;
 	}
 }
--- a/packages/policy/src/relay/subsets.test.ts
+++ b/packages/policy/src/relay/subsets.test.ts
@@ -1,7 +1,7 @@
 /** Subsets must be even, agree between hosts, and change little when a member is lost. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {countSubsets, dealSubsets, listSubset} from './subsets.js';
+import {countSubsets, assignSubsets, listSubset} from './subsets.js';
 
 function makeNames(prefix: string, count: number): string[] {
 	return Array.from({length: count}, (_, index) => `${prefix}-${index}`);
@@ -28,7 +28,7 @@
 	}
 
 	it('have even sizes', () => {
-		const assigned = dealSubsets(makeNames('host', 86), 4);
+		const assigned = assignSubsets(makeNames('host', 86), 4);
 		const sizes = Array.from({length: 4}, (_, subset) => [...assigned.values()].filter(each => each === subset).length);
 		expect(assigned.size).toEqual(86);
 		expect(Math.max(...sizes)).toEqual(22);
@@ -37,16 +37,16 @@
 
 	it('do not depend on the order of names', () => {
 		const names = makeNames('replica', 63);
-		const forwards = dealSubsets(names, 4);
-		const backwards = dealSubsets(names.toReversed(), 4);
+		const forwards = assignSubsets(names, 4);
+		const backwards = assignSubsets(names.toReversed(), 4);
 		expect(names.map(name => backwards.get(name))).toEqual(names.map(name => forwards.get(name)));
 	});
 
 	it('keep most assignments when a name is removed', () => {
 		const names = makeNames('host', 86);
-		const before = dealSubsets(names, 4);
+		const before = assignSubsets(names, 4);
 		for (const lost of [0, 20, 85]) {
-			const after = dealSubsets(names.filter((_, index) => index !== lost), 4);
+			const after = assignSubsets(names.filter((_, index) => index !== lost), 4);
 			expect(countMoved(before, after) <= 10).toEqual(true);
 		}
 	});
--- a/packages/policy/src/relay/subsets.ts
+++ b/packages/policy/src/relay/subsets.ts
@@ -29,7 +29,7 @@
 }
 
 /** Assigns names evenly to subsets by rendezvous hashing: each name goes to its highest-ranked subset with room. Removing a name moves few others. */
-export function dealSubsets(names: readonly string[], count: number): Map<string, number> {
+export function assignSubsets(names: readonly string[], count: number): Map<string, number> {
 	const maxSize = Math.ceil(names.length / count);
 	const sizes = Array.from({length: count}, () => 0);
 	const subsets = sizes.map((_, index) => String(index));
@@ -50,6 +50,6 @@
 		return undefined;
 	}
 
-	const assigned = dealSubsets(names, count);
+	const assigned = assignSubsets(names, count);
 	return new Set(names.filter(name => assigned.get(name) === own));
 }
--- a/packages/relay/src/access/request-resolver.ts
+++ b/packages/relay/src/access/request-resolver.ts
@@ -97,7 +97,7 @@
 			return new Failure('routeUnknown', {detail: `configuration ${version}`});
 		}
 
-		const service = table.draw(route, random);
+		const service = table.chooseService(route, random);
 		if (service === undefined) {
 			return new Failure('serviceUnknown', {detail: `configuration ${version}`});
 		}
--- a/packages/relay/src/access/workspace-quotas.ts
+++ b/packages/relay/src/access/workspace-quotas.ts
@@ -7,8 +7,8 @@
  * policy/relay/quota-*.
  */
 import {QuotaAccount} from '@gatehead/policy/relay/quota-account';
-import {QuotaWindow, type QuotaGrant, type QuotaWish} from '@gatehead/policy/relay/quota-window';
-import {rankKeepers, shareOf, standInShare} from '@gatehead/policy/relay/quota-keeper';
+import {QuotaWindow, type QuotaGrant, type QuotaRequest} from '@gatehead/policy/relay/quota-window';
+import {rankCoordinators, reachableShare, standInFraction} from '@gatehead/policy/relay/quota-coordinator';
 import {type RelayMessageOf} from '@gatehead/schema/relay-message';
 import {type Quota, type Workspace} from '@gatehead/schema/routing';
 import {isOff} from '../core/experiment.js';
@@ -96,7 +96,7 @@
 		const heard = listHeard();
 		this.#fleetChangedAt = clock.now();
 		for (const workspace of this.#windows.keys()) {
-			if (rankKeepers(workspace, heard)[0] !== self.host) {
+			if (rankCoordinators(workspace, heard)[0] !== self.host) {
 				this.#windows.delete(workspace);
 			}
 		}
@@ -105,7 +105,7 @@
 	/** Refunds the cost of a request that no endpoint ran. */
 	refund({name, quota}: Workspace, cost: number): void {
 		if (quota !== undefined) {
-			this.#entryOf(name, quota).account.giveBack(cost, this.#parts.context.clock.now());
+			this.#entryOf(name, quota).account.refund(cost, this.#parts.context.clock.now());
 		}
 	}
 
@@ -164,7 +164,7 @@
 	async #requestOnce(name: string, entry: WorkspaceQuota): Promise<void> {
 		const {clock} = this.#parts.context;
 		const waiting = entry.waiters.reduce((sum, {cost}) => sum + cost, 0);
-		const {least, wanted, heard} = entry.account.wish(waiting, clock.now());
+		const {least, wanted, heard} = entry.account.buildRequest(waiting, clock.now());
 		const first = entry.waiters[0]?.cost ?? 0;
 		const grant = await this.#requestGrant(name, entry.quota, {least: Math.max(first, least - waiting + first), wanted, heard});
 		entry.account.receive(grant, clock.now());
@@ -187,10 +187,10 @@
 		}
 	}
 
-	async #requestGrant(name: string, quota: Quota, wish: QuotaWish): Promise<QuotaGrant> {
+	async #requestGrant(name: string, quota: Quota, wish: QuotaRequest): Promise<QuotaGrant> {
 		const {context, listHeard} = this.#parts;
 		const {self, log, metrics} = context;
-		const keepers = isOff(context, 'quotaKeepers') ? [] : rankKeepers(name, listHeard()).slice(0, maxKeepers);
+		const keepers = isOff(context, 'quotaKeepers') ? [] : rankCoordinators(name, listHeard()).slice(0, maxKeepers);
 		for (const [index, keeper] of keepers.entries()) {
 			const grant = keeper === self.host ? this.#grant(name, quota, wish, index > 0) : await this.#requestFromKeeper(keeper, name, wish, index > 0);
 			if (grant !== undefined) {
@@ -206,7 +206,7 @@
 		return this.#grantOwnShare(name, quota, wish);
 	}
 
-	async #requestFromKeeper(keeper: string, workspace: string, wish: QuotaWish, isStandIn: boolean): Promise<QuotaGrant | undefined> {
+	async #requestFromKeeper(keeper: string, workspace: string, wish: QuotaRequest, isStandIn: boolean): Promise<QuotaGrant | undefined> {
 		return this.#requests.send(responseTimeoutMs, ask => {
 			this.#parts.send(keeper, {
 				kind: 'quotaWanted', ask, workspace, isStandIn, ...wish,
@@ -214,15 +214,15 @@
 		});
 	}
 
-	#grant(workspace: string, quota: Quota, wish: QuotaWish, isStandIn: boolean): QuotaGrant {
+	#grant(workspace: string, quota: Quota, wish: QuotaRequest, isStandIn: boolean): QuotaGrant {
 		const {listHeard, countKnown} = this.#parts;
-		const share = shareOf(listHeard().length, countKnown());
-		return this.#windowOf(workspace, quota, isStandIn ? standInShare * share : share).take(wish, this.#parts.context.clock.now());
+		const share = reachableShare(listHeard().length, countKnown());
+		return this.#windowOf(workspace, quota, isStandIn ? standInFraction * share : share).grant(wish, this.#parts.context.clock.now());
 	}
 
 	/** Grants this host its own share of the quota when no keeper replies. */
-	#grantOwnShare(workspace: string, quota: Quota, wish: QuotaWish): QuotaGrant {
-		return this.#windowOf(workspace, quota, 1 / Math.max(1, this.#parts.countKnown())).take(wish, this.#parts.context.clock.now());
+	#grantOwnShare(workspace: string, quota: Quota, wish: QuotaRequest): QuotaGrant {
+		return this.#windowOf(workspace, quota, 1 / Math.max(1, this.#parts.countKnown())).grant(wish, this.#parts.context.clock.now());
 	}
 
 	#windowOf(workspace: string, quota: Quota, share: number): QuotaWindow {
@@ -241,6 +241,6 @@
 
 /** Detail of a refusal, for the log and the caller. */
 function describeRefusal(name: string, {account, quota: {unit, ratePerS, burst}}: WorkspaceQuota, cost: number): string {
-	const level = account.levelHeard === undefined ? 'an unknown rest' : Math.floor(account.levelHeard);
+	const level = account.lastReportedLevel === undefined ? 'an unknown rest' : Math.floor(account.lastReportedLevel);
 	return `${name} asked for ${cost} ${unit}, ${level} left of ${Math.round(ratePerS)} a second and ${Math.round(burst)} at once`;
 }
--- a/packages/relay/src/front/caller-front.ts
+++ b/packages/relay/src/front/caller-front.ts
@@ -10,7 +10,7 @@
 import {listenAt} from '@gatehead/host/utils/listen';
 import {retryAfter} from '@gatehead/policy/relay/retry-after';
 import {isDecidedByConfiguration} from '@gatehead/policy/relay/final-refusals';
-import {SecondTries} from '@gatehead/policy/relay/second-tries';
+import {RetryDetector} from '@gatehead/policy/relay/retry-detector';
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {fail, Failure, toFailure} from '@gatehead/schema/failure';
 import {type CallerLimits} from '@gatehead/schema/routing';
@@ -68,7 +68,7 @@
 	readonly #parts: CallerFrontParts;
 	readonly #server: Server;
 	readonly #connections: CallerConnections;
-	readonly #secondTries = new SecondTries();
+	readonly #secondTries = new RetryDetector();
 	readonly #resolver: RequestResolver;
 	#open = 0;
 	#made = 0;
--- a/packages/relay/src/peer/load-gossip.ts
+++ b/packages/relay/src/peer/load-gossip.ts
@@ -5,7 +5,7 @@
  */
 import {GossipBudget} from '@gatehead/policy/relay/gossip-budget';
 import {
-	countSubsets, dealSubsets, wholeFleet, type Subset,
+	countSubsets, assignSubsets, wholeFleet, type Subset,
 } from '@gatehead/policy/relay/subsets';
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
@@ -133,7 +133,7 @@
 		// Suspected hosts usually return; excluding them would reassign other hosts needlessly
 		const candidates = this.#members.filter(({state}) => state === 'alive' || state === 'suspect');
 		const count = countSubsets(candidates.length);
-		const assignments = dealSubsets(candidates.map(({host}) => host), count);
+		const assignments = assignSubsets(candidates.map(({host}) => host), count);
 		const own = assignments.get(self.host) ?? 0;
 		const peers = candidates.filter(({host, state}) => state === 'alive' && host !== self.host && assignments.get(host) === own).map(({host}) => host);
 		this.#subsetPeers = {subset: {count, own}, peers};
--- a/packages/relay/src/upstream/endpoints.ts
+++ b/packages/relay/src/upstream/endpoints.ts
@@ -9,10 +9,10 @@
 	ownSource, SignalBook, type SignalChange, type Statement,
 } from '@gatehead/policy/relay/endpoint-signals';
 import {EndpointHealth, type Outcome, type Pause} from '@gatehead/policy/relay/endpoint-health';
-import {PeerUse} from '@gatehead/policy/relay/peer-use';
-import {orderEndpoints, type PlacementWeights, type Standing} from '@gatehead/policy/relay/placement';
-import {ReadingQueue} from '@gatehead/policy/relay/reading-queue';
-import {decodeReadingFactor} from '@gatehead/policy/relay/stage-split';
+import {MemoryReservations} from '@gatehead/policy/relay/memory-reservations';
+import {orderEndpoints, type PlacementWeights, type EndpointStatus} from '@gatehead/policy/relay/placement';
+import {PrefillQueue} from '@gatehead/policy/relay/prefill-queue';
+import {decodePrefillFactor} from '@gatehead/policy/relay/stage-split';
 import {type Subset} from '@gatehead/policy/relay/subsets';
 import {type Departure} from '@gatehead/policy/relay/departures';
 import {type Timer} from '@gatehead/policy/utils/clock';
@@ -100,8 +100,8 @@
 	};
 
 	readonly #uses = new Map<string, EndpointUse>();
-	readonly #queues = new Map<string, ReadingQueue>();
-	readonly #peerUse = new PeerUse();
+	readonly #queues = new Map<string, PrefillQueue>();
+	readonly #peerUse = new MemoryReservations();
 	readonly #near = new NearEndpoints();
 	#sweep: Timer | undefined;
 
@@ -151,7 +151,7 @@
 	order(service: string, {stage, hall, tokens = 0, weights, bearable}: OrderWish): Endpoint[] {
 		const now = this.#context.clock.now();
 		const {candidates, near} = this.#listCandidates(service, stage);
-		const weighed = isOff(this.#context, 'nearHalls') ? {...weights, farHall: 0} : weights;
+		const weighed = isOff(this.#context, 'nearHalls') ? {...weights, otherHall: 0} : weights;
 		return orderEndpoints(candidates, endpoint => this.#standingOf(endpoint, {tokens, bearable, near}, now), hall, weighed, this.#context.random);
 	}
 
@@ -201,10 +201,10 @@
 	}
 
 	/** Prompts on their way to a replica that reads them: all at a prefill replica, at a decode replica those that no other has read. */
-	queueOf(id: string): ReadingQueue {
+	queueOf(id: string): PrefillQueue {
 		let queue = this.#queues.get(id);
 		if (queue === undefined) {
-			queue = new ReadingQueue(this.book.stageOf(id) === 'decode' ? decodeReadingFactor : 1);
+			queue = new PrefillQueue(this.book.stageOf(id) === 'decode' ? decodePrefillFactor : 1);
 			this.#queues.set(id, queue);
 		}
 
@@ -313,15 +313,15 @@
 		return {candidates, near: this.#near.list(candidates, this.#listener.subset())};
 	}
 
-	#standingOf(endpoint: Endpoint, {tokens, bearable, near}: Weighing, now: number): Standing {
+	#standingOf(endpoint: Endpoint, {tokens, bearable, near}: Weighing, now: number): EndpointStatus {
 		const use = this.#uses.get(endpoint.id);
 		return {
 			load: this.#loadOf(endpoint, use, bearable, now),
 			isUsable: this.health.isUsable(endpoint.id, now),
-			badness: this.health.badness(endpoint.id, now),
+			failureRate: this.health.badness(endpoint.id, now),
 			hasConnection: use?.connections.hasFree ?? false,
 			isFull: this.isFull(endpoint.id, tokens),
-			isOfOtherSubset: !isNear(endpoint.id, near),
+			isInOtherSubset: !isNear(endpoint.id, near),
 			isLimited: this.signals.limitOf(endpoint.id) !== undefined && now - (use?.beganAt ?? Number.NEGATIVE_INFINITY) < limitProbeMs,
 			isRamping: this.#context.random.next() >= this.signals.rampShare(endpoint.id, now),
 		};
@@ -330,7 +330,7 @@
 	/** A prefill replica's load is its queue, a decode replica's the memory taken from here and by the hosts that say so, another's the requests from here. */
 	#loadOf({id, stage, slots}: Endpoint, use: EndpointUse | undefined, bearable: number, now: number): number {
 		if (stage === 'prefill') {
-			return this.queueOf(id).expect(0, now) / wholeQueueMs;
+			return this.queueOf(id).estimateMs(0, now) / wholeQueueMs;
 		}
 
 		if (bearable > 0) {
--- a/packages/relay/src/upstream/rate-limiter.ts
+++ b/packages/relay/src/upstream/rate-limiter.ts
@@ -7,7 +7,7 @@
 import {rankFirst} from '@gatehead/policy/core/rendezvous';
 import {type SignalBook} from '@gatehead/policy/relay/endpoint-signals';
 import {RateGranter, type RateGrant} from '@gatehead/policy/relay/rate-granter';
-import {RatePermits, unlimited, type Permit} from '@gatehead/policy/relay/rate-permits';
+import {RatePermits, unlimitedPermit, type Permit} from '@gatehead/policy/relay/rate-permits';
 import {RateShare} from '@gatehead/policy/relay/rate-share';
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {type Owner} from '@gatehead/schema/engine-protocol';
@@ -118,8 +118,8 @@
 
 	/** Takes a permit back that was not used. */
 	giveBack(endpoint: string, permit: Permit): void {
-		if (permit !== unlimited) {
-			this.#deskOf(endpoint).permits.giveBack(permit);
+		if (permit !== unlimitedPermit) {
+			this.#deskOf(endpoint).permits.putBack(permit);
 		}
 	}
 
@@ -173,7 +173,7 @@
 	receiveLoan(from: string, {round, share, version}: RelayMessageOf<'rateLoan'>): void {
 		this.#sentVersions.set(from, version);
 		if (share > 0) {
-			this.#granter.receive(from, round, share, this.#parts.context.clock.now());
+			this.#granter.addShare(from, round, share, this.#parts.context.clock.now());
 		}
 	}
 
@@ -211,12 +211,12 @@
 	async #acquireNow(endpoint: string): Promise<PermitAnswer> {
 		const {context: {clock}, signals} = this.#parts;
 		if (signals.limitOf(endpoint) === undefined) {
-			return {kind: 'granted', permit: unlimited};
+			return {kind: 'granted', permit: unlimitedPermit};
 		}
 
 		const now = clock.now();
 		const desk = this.#deskOf(endpoint);
-		desk.permits.noteDemand(now);
+		desk.permits.recordDemand(now);
 		const permit = desk.permits.take(now);
 		if (permit !== undefined) {
 			return {kind: 'granted', permit};
@@ -253,7 +253,7 @@
 		const {context: {clock, metrics}, signals} = this.#parts;
 		const askedAt = clock.now();
 		const grant = await this.#question(endpoint, desk.permits.wanted(desk.waiters.length, askedAt));
-		desk.permits.receive(grant, askedAt);
+		desk.permits.add(grant, askedAt);
 		metrics.add('ratePermits', {outcome: grant.granted > 0 ? 'granted' : 'refused'}, Math.max(1, grant.granted));
 		while (desk.waiters.length > 0) {
 			const permit = desk.permits.take(clock.now());
@@ -303,7 +303,7 @@
 		}
 
 		this.#openDueRound();
-		return this.#granter.take(endpoint, limit, wanted, clock.now());
+		return this.#granter.grant(endpoint, limit, wanted, clock.now());
 	}
 
 	/** Keeps rounds going while a limit is in force. */
@@ -337,10 +337,10 @@
 		}
 
 		this.#roundAt = now;
-		const round = this.#granter.openRound(now);
+		const round = this.#granter.startRound(now);
 		const limits = signals.listLimits(now);
 		if (this.#mayLend() && this.#share.lend(self, now)) {
-			this.#granter.receive(self.host, round, this.#shareOf(hosts), now);
+			this.#granter.addShare(self.host, round, this.#shareOf(hosts), now);
 		}
 
 		for (const {host} of listReachable()) {
--- a/packages/relay/src/upstream/sender.ts
+++ b/packages/relay/src/upstream/sender.ts
@@ -112,7 +112,7 @@
 				connectMs: settings.timing.connectMs,
 				headMs,
 				signal,
-				mayLeave: () => clock.now() <= permit.leaveBy && this.#mayLeave(send),
+				mayLeave: () => clock.now() <= permit.sendBy && this.#mayLeave(send),
 			});
 			const sent = this.#judge(send, response, finish, startedAt);
 			metrics.add('sends', {step, outcome: sent.kind === 'answer' ? `status${Math.floor((response.statusCode ?? 0) / 100)}` : sent.reason});
@@ -127,7 +127,7 @@
 
 	/** Leave to send where the endpoint is rate-limited; undefined: none can be had in time. */
 	async #getPermit({endpoint, permit, permitMs}: Send): Promise<Permit | undefined> {
-		if (permit !== undefined && this.#context.clock.now() < permit.leaveBy) {
+		if (permit !== undefined && this.#context.clock.now() < permit.sendBy) {
 			return permit;
 		}
 
--- a/packages/relay/src/work/decode-prefill.test.ts
+++ b/packages/relay/src/work/decode-prefill.test.ts
@@ -1,6 +1,6 @@
 /** Guards the estimate of the queueing delay behind a prompt that a decode replica prefills itself. */
 import {describe, it} from 'node:test';
-import {ReadingQueue} from '@gatehead/policy/relay/reading-queue';
+import {PrefillQueue} from '@gatehead/policy/relay/prefill-queue';
 import {ignore} from '@gatehead/policy/utils/ignore';
 import {ManualClock} from '@gatehead/policy/utils/manual-clock';
 import {expect} from 'earl';
@@ -40,7 +40,7 @@
 	for (const {name, afterMs, outcome, waitMs} of cases) {
 		it(name, () => {
 			const clock = new ManualClock();
-			const queue = new ReadingQueue(2);
+			const queue = new PrefillQueue(2);
 			const announced: string[] = [];
 			const prefill = new DecodePrefill({
 				clock,
@@ -51,7 +51,7 @@
 					},
 				},
 			});
-			const ownMs = queue.expect(tokens, clock.now());
+			const ownMs = queue.estimateMs(tokens, clock.now());
 			expect(prefill.begin('replica', tokens)).toEqual(ownMs);
 			expect(announced).toEqual([`replica ${tokens}`]);
 			clock.advance(afterMs);
@@ -70,7 +70,7 @@
 				prefill.abandon();
 			}
 
-			expect(Math.round(queue.expect(tokens, clock.now()) - ownMs)).toEqual(waitMs);
+			expect(Math.round(queue.estimateMs(tokens, clock.now()) - ownMs)).toEqual(waitMs);
 		});
 	}
 });
--- a/packages/relay/src/work/decode-prefill.ts
+++ b/packages/relay/src/work/decode-prefill.ts
@@ -4,7 +4,7 @@
  * their estimates. A prefill that is neither finished nor abandoned would make
  * the replica look overdue for good.
  */
-import {type Reading, type ReadingQueue} from '@gatehead/policy/relay/reading-queue';
+import {type PendingPrefill, type PrefillQueue} from '@gatehead/policy/relay/prefill-queue';
 import {type Clock} from '@gatehead/policy/utils/clock';
 import {type LoadGossip} from '../peer/load-gossip.js';
 import {type Endpoints} from '../upstream/endpoints.js';
@@ -18,7 +18,7 @@
 /** The prefill of one request's prompt at its decode replica, while it runs. */
 export class DecodePrefill {
 	readonly #parts: DecodePrefillParts;
-	#current: {readonly queue: ReadingQueue; readonly reading: Reading} | undefined;
+	#current: {readonly queue: PrefillQueue; readonly reading: PendingPrefill} | undefined;
 
 	constructor(parts: DecodePrefillParts) {
 		this.#parts = parts;
@@ -28,7 +28,7 @@
 	begin(endpoint: string, tokens: number): number {
 		const {clock, endpoints, news} = this.#parts;
 		const queue = endpoints.queueOf(endpoint);
-		const reading = queue.begin(tokens, clock.now());
+		const reading = queue.start(tokens, clock.now());
 		news.announcePrompt(endpoint, tokens);
 		this.#current = {queue, reading};
 		return reading.expectedMs;
@@ -36,7 +36,7 @@
 
 	/** Marks the prefill as done; called at the request's first event. */
 	finish(): void {
-		this.#current?.queue.finish(this.#current.reading, this.#parts.clock.now());
+		this.#current?.queue.complete(this.#current.reading, this.#parts.clock.now());
 		this.#current = undefined;
 	}
 
--- a/packages/relay/src/work/plain.ts
+++ b/packages/relay/src/work/plain.ts
@@ -32,7 +32,7 @@
 
 /** Placement weights for plain services: the endpoint in the own hall is preferred until it has work in progress, so that its connections are reused. */
 const weights: PlacementWeights = {
-	farHall: 0.12, newConnection: 0.1, badness: 2, otherSubset: 0, noise: 0.05,
+	otherHall: 0.12, newConnection: 0.1, failureRate: 2, otherSubset: 0, noise: 0.05,
 };
 
 /** A response with its complete body. */
--- a/packages/relay/src/work/prefill.ts
+++ b/packages/relay/src/work/prefill.ts
@@ -4,7 +4,7 @@
  * decode replica prefills the prompt itself.
  */
 import {type PlacementWeights} from '@gatehead/policy/relay/placement';
-import {mostReadingMs} from '@gatehead/policy/relay/reading-limit';
+import {maxPrefillWaitMs} from '@gatehead/policy/relay/prefill-limit';
 import {type Endpoint} from '@gatehead/schema/routing';
 import {isOff} from '../core/experiment.js';
 import {readBody} from '../upstream/exchange.js';
@@ -22,7 +22,7 @@
 const undeliveredReasons: ReadonlySet<string> = new Set(['connect', 'held', 'limited']);
 
 const weights: PlacementWeights = {
-	farHall: 0.25, newConnection: 0.1, badness: 1, otherSubset: 0.6, noise: 0.1,
+	otherHall: 0.25, newConnection: 0.1, failureRate: 1, otherSubset: 0.6, noise: 0.1,
 };
 
 /** Handle of a prefill result and the replica that holds it. */
@@ -60,26 +60,26 @@
 
 			const queue = endpoints.queueOf(endpoint.id);
 			const startedAt = clock.now();
-			const expectedMs = queue.expect(tokens, startedAt);
+			const expectedMs = queue.estimateMs(tokens, startedAt);
 			const {arrivedAt, isCallerRetry, route: {targetMs}} = job;
-			const maxExpectedMs = mostReadingMs({targetMs, leftMs: arrivedAt + targetMs - startedAt, isReturned: isCallerRetry});
-			if (expectedMs > maxExpectedMs && endpoints.queueOf(decode.id).expect(tokens, startedAt) < expectedMs) {
+			const maxExpectedMs = maxPrefillWaitMs({targetMs, leftMs: arrivedAt + targetMs - startedAt, isRetry: isCallerRetry});
+			if (expectedMs > maxExpectedMs && endpoints.queueOf(decode.id).estimateMs(tokens, startedAt) < expectedMs) {
 				log('prefilled', {
 					request: job.id, endpoint: endpoint.id, outcome: 'left to the decode replica', expectedMs: Math.round(expectedMs),
 				});
 				return undefined;
 			}
 
-			const reading = queue.begin(tokens, startedAt);
+			const reading = queue.start(tokens, startedAt);
 			news.announcePrompt(endpoint.id, tokens);
 			const result = await this.#runAt(endpoint);
 			if (result === undefined) {
 				queue.abandon(reading);
 			} else {
-				queue.finish(reading, clock.now());
+				queue.complete(reading, clock.now());
 				const tookMs = clock.now() - startedAt;
 				metrics.time('prefill', tookMs);
-				orders.splitOf(job.service.name).noteRead(tokens * queue.tokenMs);
+				orders.splitOf(job.service.name).recordPrefill(tokens * queue.tokenMs);
 				log('prefilled', {
 					request: job.id, endpoint: endpoint.id, outcome: 'read', tokens, expectedMs: Math.round(expectedMs), tookMs: Math.round(tookMs),
 				});
@@ -123,7 +123,7 @@
 			// Nothing reached the replica if the connection failed, the content was held or no permit was available
 			this.#attempts += undeliveredReasons.has(sent.reason) ? 0 : 1;
 			if (sent.reason === 'refused') {
-				this.#parts.endpoints.queueOf(endpoint.id).refuse(this.#parts.context.clock.now());
+				this.#parts.endpoints.queueOf(endpoint.id).recordRejection(this.#parts.context.clock.now());
 			}
 
 			return undefined;
--- a/packages/relay/src/work/replica-search.ts
+++ b/packages/relay/src/work/replica-search.ts
@@ -18,7 +18,7 @@
 
 /** Placement weights for decoding: the load of this host there counts most, then failures. A replica in the own hall is worth a thirtieth of a replica's memory, and a replica of another subset is preferred to one that is nearly full. */
 const weights: PlacementWeights = {
-	farHall: 0.03, newConnection: 0.08, badness: 1, otherSubset: 0.6, noise: 0.08,
+	otherHall: 0.03, newConnection: 0.08, failureRate: 1, otherSubset: 0.6, noise: 0.08,
 };
 
 /** Decode memory reserved for a request. */
--- a/packages/relay/src/work/retry-budgets.ts
+++ b/packages/relay/src/work/retry-budgets.ts
@@ -21,7 +21,7 @@
 
 	/** Counts an incoming request, which adds to the service's budget. */
 	recordRequest(service: string): void {
-		this.#budgetOf(service).arrive(this.#context.clock.now());
+		this.#budgetOf(service).recordRequest(this.#context.clock.now());
 	}
 
 	/** Takes one retry from the budget; false if too little is left. Either outcome is logged and counted. */
--- a/packages/relay/src/work/stage-orders.ts
+++ b/packages/relay/src/work/stage-orders.ts
@@ -9,8 +9,8 @@
  * position.
  */
 import {type ReleaseRate} from '@gatehead/policy/relay/release-rate';
-import {OrdersUnderWay} from '@gatehead/policy/relay/orders-under-way';
-import {StageSplit, type Paces, type StageChange} from '@gatehead/policy/relay/stage-split';
+import {PendingStageChanges} from '@gatehead/policy/relay/pending-stage-changes';
+import {StageSplit, type StageThroughput, type StageChange} from '@gatehead/policy/relay/stage-split';
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {isLater, toFence, type Position} from '@gatehead/schema/position';
 import {type Endpoint} from '@gatehead/schema/routing';
@@ -56,7 +56,7 @@
 	readonly #parts: StageOrderParts;
 	readonly #splits = new Map<string, StageSplit>();
 	readonly #orderedAt = new Map<string, number>();
-	readonly #pendingOrders = new OrdersUnderWay();
+	readonly #pendingOrders = new PendingStageChanges();
 	/** Directory position when this host became the leader; undefined if it is not. */
 	#leaderSince: Position | undefined;
 	#timer: Timer | undefined;
@@ -102,22 +102,22 @@
 
 			const isUsable = ({id}: Endpoint) => endpoints.isUsable(id);
 			const replicas = this.#pendingOrders.apply(endpoints.book.listReady(name), clock.now());
-			for (const change of this.splitOf(name).choose(replicas, this.#pacesOf(name), isUsable)) {
+			for (const change of this.splitOf(name).chooseChanges(replicas, this.#pacesOf(name), isUsable)) {
 				this.#orderedAt.set(name, clock.now());
 				void this.#order(change);
 			}
 		}
 	}
 
-	#pacesOf(service: string): Paces {
-		const {readMs, read} = this.splitOf(service);
+	#pacesOf(service: string): StageThroughput {
+		const {prefillMs, prefillCount} = this.splitOf(service);
 		const {releaseRateOf, lastWaitedAt, context: {clock}} = this.#parts;
 		const rate = releaseRateOf(service);
 		return {
-			prefillPerS: millisecondsPerSecond / Math.max(minPrefillMs, readMs),
+			prefillPerS: millisecondsPerSecond / Math.max(minPrefillMs, prefillMs),
 			decodePerS: rate.perSecond(1),
-			seen: Math.min(read, rate.seen),
-			isShort: clock.now() - lastWaitedAt(service) < shortageMs,
+			sampleCount: Math.min(prefillCount, rate.completedCount),
+			isMemoryShort: clock.now() - lastWaitedAt(service) < shortageMs,
 		};
 	}
 
@@ -150,10 +150,10 @@
 		const pause = {endpoint: endpoint.id, leftMs: stageChangeMs};
 		endpoints.hearPause(pause, ownOrder);
 		fleet.announcePause(pause);
-		this.#pendingOrders.begin(endpoint.id, stage, clock.now());
+		this.#pendingOrders.add(endpoint.id, stage, clock.now());
 		const outcome = await ownCalls.orderStage(endpoint, stage, self.host, fence);
 		if (!acceptedOutcomes.has(outcome)) {
-			this.#pendingOrders.fail(endpoint.id);
+			this.#pendingOrders.remove(endpoint.id);
 		}
 
 		log('stageOrdered', {
--- a/packages/standin/src/limits/limited-fleet.ts
+++ b/packages/standin/src/limits/limited-fleet.ts
@@ -6,7 +6,7 @@
  */
 import {setImmediate} from 'node:timers/promises';
 import {SignalBook, type SignalChange} from '@gatehead/policy/relay/endpoint-signals';
-import {unlimited} from '@gatehead/policy/relay/rate-permits';
+import {unlimitedPermit} from '@gatehead/policy/relay/rate-permits';
 import {rankFirst} from '@gatehead/policy/core/rendezvous';
 import {ignore} from '@gatehead/policy/utils/ignore';
 import {ManualClock} from '@gatehead/policy/utils/manual-clock';
@@ -74,7 +74,7 @@
 	readonly bytes: number;
 };
 
-const freely: PermitAnswer = {kind: 'granted', permit: unlimited};
+const freely: PermitAnswer = {kind: 'granted', permit: unlimitedPermit};
 
 class PlayedHost {
 	readonly name: string;
@@ -176,7 +176,7 @@
 		const {incarnation} = host;
 		const answer = await this.#acquirers[this.#play.design ?? 'shares'](host, `e${endpoint}`);
 		const now = this.#clock.now();
-		if (answer.kind === 'limited' || host.incarnation !== incarnation || now < host.frozenUntil || now > answer.permit.leaveBy) {
+		if (answer.kind === 'limited' || host.incarnation !== incarnation || now < host.frozenUntil || now > answer.permit.sendBy) {
 			return;
 		}
 
