--- /dev/null
+++ b/packages/relay/src/upstream/connection-pool.ts
@@ -0,0 +1,98 @@
+/**
+ * Keep-alive connections to one endpoint, pooled by Node's HTTP agent. Safety:
+ * a connection that delivered unsolicited bytes, or a response before the
+ * whole request was written, is never reused.
+ */
+import {Agent, type ClientRequest} from 'node:http';
+import {Socket} from 'node:net';
+import {type Duplex} from 'node:stream';
+
+/** Idle timeout where the endpoint states none, in milliseconds: such an endpoint closes idle connections within a second. */
+const defaultIdleMs = 300;
+/** Subtracted from the idle timeout that the endpoint states, in milliseconds: endpoints state whole seconds, and timers fire late. */
+const idleMarginMs = 1000;
+/** Longest idle timeout, in milliseconds: endpoints may drop idle connections without closing them. */
+const maxIdleMs = 20_000;
+
+type ConnectionState = {
+	idleMs: number;
+	isUnusable: boolean;
+};
+
+const states = new WeakMap<Duplex, ConnectionState>();
+
+function stateOf(socket: Duplex): ConnectionState {
+	let state = states.get(socket);
+	if (state === undefined) {
+		state = {idleMs: defaultIdleMs, isUnusable: false};
+		states.set(socket, state);
+	}
+
+	return state;
+}
+
+/** Sets a connection's idle timeout from the one that the endpoint states, in milliseconds; undefined: it states none. */
+export function setIdleTimeout(socket: Duplex, idleMs: number | undefined): void {
+	stateOf(socket).idleMs = idleMs === undefined ? defaultIdleMs : Math.min(maxIdleMs, idleMs - idleMarginMs);
+}
+
+/** Keeps a connection from being reused. */
+export function preventReuse(socket: Duplex): void {
+	stateOf(socket).isUnusable = true;
+}
+
+function destroyOnData(this: Socket): void {
+	this.destroy();
+}
+
+/** Connection pool of one endpoint. */
+export class ConnectionPool extends Agent {
+	readonly #onOpen: () => void;
+
+	/** `onOpen` is called for each new connection. */
+	constructor(socketLimit: number, onOpen: () => void) {
+		super({
+			keepAlive: true, maxSockets: socketLimit, maxFreeSockets: socketLimit, scheduling: 'lifo', noDelay: true,
+		});
+		this.#onOpen = onOpen;
+	}
+
+	/** Whether an idle connection is available. */
+	get hasIdle(): boolean {
+		return Object.values(this.freeSockets).some(sockets => sockets !== undefined && sockets.length > 0);
+	}
+
+	/** Whether any connection is established, idle or in use. */
+	get isConnected(): boolean {
+		const sockets = [...Object.values(this.freeSockets), ...Object.values(this.sockets)].flat();
+		return sockets.some(socket => socket !== undefined && !socket.destroyed && !socket.connecting);
+	}
+
+	override createConnection(...parameters: Parameters<Agent['createConnection']>): ReturnType<Agent['createConnection']> {
+		this.#onOpen();
+		return super.createConnection(...parameters);
+	}
+
+	/** Called by Node when a request is done; returns whether the connection stays in the pool. */
+	override keepSocketAlive(socket: Duplex): boolean { // eslint-disable-line @typescript-eslint/strict-void-return -- Node reads the value, its types do not say so
+		const {idleMs, isUnusable} = stateOf(socket);
+		if (isUnusable || idleMs <= 0 || socket.readableLength > 0 || !(socket instanceof Socket)) {
+			return false;
+		}
+
+		socket.setTimeout(idleMs);
+		// Bytes on an idle connection belong to no request
+		socket.on('data', destroyOnData);
+		return true;
+	}
+
+	/** Called by Node when an idle connection is reused. */
+	override reuseSocket(socket: Duplex, request: ClientRequest): void {
+		// Removes the error listener that Node's agent adds to idle connections
+		super.reuseSocket(socket, request);
+		socket.off('data', destroyOnData);
+		if (socket instanceof Socket) {
+			socket.setTimeout(0);
+		}
+	}
+}
--- a/packages/relay/src/upstream/endpoint-use.ts
+++ b/packages/relay/src/upstream/endpoint-use.ts
@@ -1,40 +1,40 @@
-/** What one host has in work at one endpoint, and what the endpoint said last of its room. Efficiency only. */
-import {Connections} from './connections.js';
+/** Requests and memory that this host has in use at one endpoint, and the endpoint's last refusal for lack of capacity. */
+import {ConnectionPool} from './connection-pool.js';
 
-/** Time for which an endpoint that had no room is passed over for requests of that size, in milliseconds: about the time in which one of its answers ends. */
-const fullMs = 90;
-/** Connections to one endpoint where its service names no bound: as many as an engine batches. */
-const mostConnections = 64;
+/** Time for which an endpoint that refused for lack of capacity is skipped for requests of that size, in milliseconds: about the time in which one of its responses completes. */
+const fullRetryMs = 90;
+/** Connection limit of an endpoint whose service sets none: as many requests as an engine batches. */
+const connectionLimit = 64;
 
-/** The use of one endpoint. */
+/** This host's use of one endpoint. */
 export class EndpointUse {
-	readonly connections: Connections;
-	/** When the last work began, on this process's clock. */
-	beganAt = Number.NEGATIVE_INFINITY;
-	#open = 0;
+	readonly connections: ConnectionPool;
+	/** When the last send started, on this process's clock. */
+	lastSentAt = Number.NEGATIVE_INFINITY;
+	#inFlight = 0;
 	#tokens = 0;
-	#fullAt = Number.NEGATIVE_INFINITY;
-	#fullTokens = 0;
+	#refusedAt = Number.NEGATIVE_INFINITY;
+	#refusedTokens = 0;
 
 	/** `onConnection` is called for each new connection. */
 	constructor(onConnection: () => void) {
-		this.connections = new Connections(mostConnections, onConnection);
+		this.connections = new ConnectionPool(connectionLimit, onConnection);
 	}
 
-	/** Sends in work. */
-	get open(): number {
-		return this.#open;
+	/** Number of sends in flight. */
+	get inFlight(): number {
+		return this.#inFlight;
 	}
 
-	/** Tokens of memory that this host has taken there. */
+	/** Memory that this host's sends use at the endpoint, in tokens. */
 	get tokens(): number {
 		return this.#tokens;
 	}
 
-	/** Notes work; the returned function ends it, once, and says by `onRoom` that memory came free. */
+	/** Starts tracking a send. The returned function ends it and calls `onRoom` if that frees memory; further calls do nothing. */
 	begin(tokens: number, now: number, onRoom: () => void): () => void {
-		this.beganAt = now;
-		this.#open += 1;
+		this.lastSentAt = now;
+		this.#inFlight += 1;
 		this.#tokens += tokens;
 		let isOpen = true;
 		return () => {
@@ -43,23 +43,23 @@
 			}
 
 			isOpen = false;
-			this.#open -= 1;
+			this.#inFlight -= 1;
 			this.#tokens -= tokens;
 			if (tokens > 0) {
-				this.#fullAt = Number.NEGATIVE_INFINITY;
+				this.#refusedAt = Number.NEGATIVE_INFINITY;
 				onRoom();
 			}
 		};
 	}
 
-	/** Whether the endpoint said a moment ago that it had no room for as much. */
+	/** Whether the endpoint recently refused a request of at most this size for lack of capacity. */
 	isFull(tokens: number, now: number): boolean {
-		return now - this.#fullAt < fullMs && tokens >= this.#fullTokens;
+		return now - this.#refusedAt < fullRetryMs && tokens >= this.#refusedTokens;
 	}
 
-	/** Notes that it has no room for so many tokens. */
+	/** Records that the endpoint refused a request of this size for lack of capacity. */
 	noteFull(tokens: number, now: number): void {
-		this.#fullAt = now;
-		this.#fullTokens = tokens;
+		this.#refusedAt = now;
+		this.#refusedTokens = tokens;
 	}
 }
--- a/packages/relay/src/upstream/endpoints.ts
+++ b/packages/relay/src/upstream/endpoints.ts
@@ -1,7 +1,7 @@
 /**
- * All that one host knows of the endpoints it sends to: which take work,
- * which fail, what it has in work at each, and the connections kept to them.
- * Safety: an endpoint that is leaving gets nothing new from here.
+ * State of the endpoints that this host sends to: readiness, health, signals,
+ * sends in flight and connections. Safety: an endpoint that is leaving is not
+ * selected for new requests.
  */
 import {EndpointBook} from '@gatehead/policy/relay/endpoint-book';
 import {type EndpointChange} from '@gatehead/policy/relay/endpoint-change';
@@ -21,51 +21,50 @@
 import {type Endpoint} from '@gatehead/schema/routing';
 import {type BaseContext, type RelayContext} from '../core/context.js';
 import {isOff} from '../core/experiment.js';
-import {type Connections} from './connections.js';
+import {type ConnectionPool} from './connection-pool.js';
 import {EndpointUse} from './endpoint-use.js';
-import {NearEndpoints} from './near-endpoints.js';
+import {SubsetCache} from './subset-cache.js';
 
-/** How often vanished entries are looked at, in milliseconds: small against the graces that it ends. */
-const sweepMs = 250;
-/** A prefill replica's queue that weighs as one whole load, in milliseconds: a few prompts. */
-const wholeQueueMs = 300;
+/** Interval of the checks for vanished entries, in milliseconds: short compared with their grace periods. */
+const sweepIntervalMs = 250;
+/** Prefill queue that counts as a load of 1, in milliseconds: a few prompts. */
+const fullLoadQueueMs = 300;
 
-/** Time without a request after which a rate-limited endpoint is placed like any other, in milliseconds: its limit can only change with a response. */
+/** Time without a request after which a rate-limited endpoint is placed like any other, in milliseconds: only a response can change its limit. */
 const limitProbeMs = 1000;
 
-/** Who hands on a pause that follows from an order of this host's own. */
+/** Source of a pause that follows from a stage order of this host. */
 export const ownOrder = 'order';
 
-/** Changes by which an endpoint stops to take work for good. */
-const departing: ReadonlySet<EndpointChange['change']> = new Set(['leaving', 'outdated', 'gone']);
+/** Changes after which an endpoint takes no new work for good. */
+const departureChanges: ReadonlySet<EndpointChange['change']> = new Set(['leaving', 'outdated', 'gone']);
 
 type EndpointContext = BaseContext & Pick<RelayContext, 'settings'>;
 
-/** Who hears of changes, and knows which subset this host belongs to. */
+/** Callbacks for changes, and the source of this host's subset. */
 export type EndpointListener = {
-	/** This host has set an endpoint aside. */
+	/** This host has paused an endpoint. */
 	onPause(pause: Pause): void;
 	/** An endpoint is known to be gone. */
 	onGone(endpoint: Endpoint): void;
-	/** An endpoint has stated to this host that its rate limit began, changed or ended. */
+	/** A response to this host shows that an endpoint's rate limit started, changed or ended. */
 	onLimit(endpoint: string): void;
-	/** An endpoint has announced to this host that it drains. */
+	/** An endpoint has announced to this host that it is draining. */
 	onDrain(endpoint: string): void;
-	/** Room may have come free at a service. */
+	/** A service may have free capacity again. */
 	onRoom(service: string): void;
 	/** This host's subset among the fleet's. */
 	subset(): Subset;
 };
 
-/** The endpoints of one host. */
+/** Endpoints as one host knows them. */
 export class Endpoints {
 	readonly signals = new SignalBook();
 	readonly book = new EndpointBook(id => this.signals.isDraining(id));
 	readonly health = new EndpointHealth();
 	readonly #context: EndpointContext;
 	readonly #listener: EndpointListener;
-	/** What follows from each change. */
-	readonly #follow: Readonly<Record<EndpointChange['change'], (endpoint: Endpoint) => void>> = {
+	readonly #changeHandlers: Readonly<Record<EndpointChange['change'], (endpoint: Endpoint) => void>> = {
 		added: ({service}) => {
 			this.#listener.onRoom(service);
 		},
@@ -73,7 +72,7 @@
 			this.#listener.onRoom(service);
 		},
 		restaged: ({id, service}) => {
-			// What it failed in was its other part
+			// Its failures were in the other stage
 			this.health.forget(id);
 			this.#queues.delete(id);
 			this.#listener.onRoom(service);
@@ -88,8 +87,8 @@
 		},
 	};
 
-	/** Which signals of an endpoint other hosts have to know: a backoff period is between it and this host. */
-	readonly #announce: Readonly<Record<SignalChange['signal'], (endpoint: string) => void>> = {
+	/** Passes on signals that other hosts have to know. A backoff period concerns this host only. */
+	readonly #signalHandlers: Readonly<Record<SignalChange['signal'], (endpoint: string) => void>> = {
 		limit: endpoint => {
 			this.#listener.onLimit(endpoint);
 		},
@@ -102,105 +101,105 @@
 	readonly #uses = new Map<string, EndpointUse>();
 	readonly #queues = new Map<string, PrefillQueue>();
 	readonly #peerUse = new MemoryReservations();
-	readonly #near = new NearEndpoints();
-	#sweep: Timer | undefined;
+	readonly #subsets = new SubsetCache();
+	#sweepTimer: Timer | undefined;
 
 	constructor(context: EndpointContext, listener: EndpointListener) {
 		this.#context = context;
 		this.#listener = listener;
 	}
 
-	/** Starts to drop what stays vanished. */
+	/** Starts the periodic removal of vanished entries. */
 	start(): void {
 		const {clock} = this.#context;
-		this.#sweep = clock.after(sweepMs, () => {
+		this.#sweepTimer = clock.after(sweepIntervalMs, () => {
 			this.note(this.book.sweep(clock.now()), 'grace');
 			this.start();
 		});
 	}
 
-	/** Stops and closes all connections. */
+	/** Stops the periodic removal and closes all connections. */
 	close(): void {
-		this.#sweep?.stop();
+		this.#sweepTimer?.stop();
 		for (const {connections} of this.#uses.values()) {
 			connections.destroy();
 		}
 	}
 
-	/** Writes down what changed in the book; `source` says where the news came from, `ageMs` how long ago the directory was read for it. */
+	/** Logs and handles directory changes. `source`: where they came from; `ageMs`: how long ago they were read from the directory. */
 	note(changes: readonly EndpointChange[], source: string, ageMs = 0): void {
 		for (const {endpoint, change, position} of changes) {
 			const {id, service, address, stage, hall} = endpoint;
 			this.#context.log('endpointChanged', {
 				endpoint: id, service, address, stage, endpointHall: hall, change, ...position, source, ageMs: Math.round(ageMs),
 			});
-			if (departing.has(change)) {
-				this.#noteDeparture(endpoint, ageMs);
+			if (departureChanges.has(change)) {
+				this.#reportDeparture(endpoint, ageMs);
 			}
 
-			this.#follow[change](endpoint);
+			this.#changeHandlers[change](endpoint);
 		}
 	}
 
-	/** Takes over which endpoints another host knows to have left. */
+	/** Merges departures that another host knows of. */
 	hearDepartures(departures: readonly Departure[], from: string): void {
 		this.note(this.book.mergeDepartures(departures, this.#context.clock.now()), from);
 	}
 
-	/** Endpoints of a service that take new work, in the order to try them. */
-	order(service: string, {stage, hall, tokens = 0, weights, bearable}: OrderWish): Endpoint[] {
+	/** Endpoints of a service that take new work, in the order in which to try them. */
+	order(service: string, {stage, hall, tokens = 0, weights, bearable}: PlacementRequest): Endpoint[] {
 		const now = this.#context.clock.now();
-		const {candidates, near} = this.#listCandidates(service, stage);
-		const weighed = isOff(this.#context, 'nearHalls') ? {...weights, otherHall: 0} : weights;
-		return orderEndpoints(candidates, endpoint => this.#standingOf(endpoint, {tokens, bearable, near}, now), hall, weighed, this.#context.random);
+		const {candidates, subsetIds} = this.#listCandidates(service, stage);
+		const effectiveWeights = isOff(this.#context, 'nearHalls') ? {...weights, otherHall: 0} : weights;
+		return orderEndpoints(candidates, endpoint => this.#standingOf(endpoint, {tokens, bearable, subsetIds}, now), hall, effectiveWeights, this.#context.random);
 	}
 
-	/** Whether an endpoint may get a request of this host now. */
+	/** Whether this host may send a request to an endpoint now. */
 	isUsable(id: string): boolean {
 		const now = this.#context.clock.now();
 		return this.health.isUsable(id, now) && this.signals.waitMs(id, now) === 0;
 	}
 
-	/** Usable decode replicas of a service in this host's subset. */
+	/** Number of usable decode replicas of a service in this host's subset. */
 	countDecode(service: string): number {
 		const now = this.#context.clock.now();
-		const {candidates, near} = this.#listCandidates(service, 'decode');
-		return candidates.filter(({id}) => isNear(id, near) && this.health.isUsable(id, now)).length;
+		const {candidates, subsetIds} = this.#listCandidates(service, 'decode');
+		return candidates.filter(({id}) => isInSubset(id, subsetIds) && this.health.isUsable(id, now)).length;
 	}
 
-	/** Notes memory that is taken at a decode replica without a send of this host in work there. */
+	/** Records memory that is in use at a decode replica for `heldMs` milliseconds without a send of this host in flight there. */
 	noteTaken(id: string, tokens: number, heldMs: number): void {
 		this.#peerUse.add(id, tokens, heldMs, this.#context.clock.now());
 	}
 
-	/** Whether an endpoint said a moment ago that it had no room for as much. */
+	/** Whether an endpoint recently refused a request of at most this size for lack of capacity. */
 	isFull(id: string, tokens: number): boolean {
 		return this.#uses.get(id)?.isFull(tokens, this.#context.clock.now()) ?? false;
 	}
 
-	/** Notes that an endpoint has no room for so many tokens. */
+	/** Records that an endpoint refused a request of this size, in tokens, for lack of capacity. */
 	noteFull(id: string, tokens: number): void {
 		this.#uses.get(id)?.noteFull(tokens, this.#context.clock.now());
 	}
 
-	/** Connections to an endpoint. */
-	connectionsOf(endpoint: Endpoint): Connections {
+	/** Connection pool of an endpoint. */
+	connectionsOf(endpoint: Endpoint): ConnectionPool {
 		return this.#useOf(endpoint).connections;
 	}
 
-	/** Notes work at an endpoint; the returned function ends it, once. */
+	/** Starts tracking a send of `tokens` tokens; the returned function ends it, and does nothing when called again. */
 	begin(endpoint: Endpoint, tokens: number): () => void {
 		return this.#useOf(endpoint).begin(tokens, this.#context.clock.now(), () => {
 			this.#listener.onRoom(endpoint.service);
 		});
 	}
 
-	/** Sends of this host in work at an endpoint. */
+	/** Number of this host's sends in flight at an endpoint. */
 	countOpen(id: string): number {
-		return this.#uses.get(id)?.open ?? 0;
+		return this.#uses.get(id)?.inFlight ?? 0;
 	}
 
-	/** Prompts on their way to a replica that reads them: all at a prefill replica, at a decode replica those that no other has read. */
+	/** Queue of prompts to be prefilled by a replica: all prompts of a prefill replica; of a decode replica, those without a prefill result. */
 	queueOf(id: string): PrefillQueue {
 		let queue = this.#queues.get(id);
 		if (queue === undefined) {
@@ -211,7 +210,7 @@
 		return queue;
 	}
 
-	/** Notes what became of a send. */
+	/** Records the outcome of a send; may pause the endpoint. */
 	judge({id, service, address}: Endpoint, outcome: Outcome): void {
 		const {clock, log, metrics} = this.#context;
 		if (isOff(this.#context, 'pauses')) {
@@ -229,7 +228,7 @@
 		}
 	}
 
-	/** Takes what an endpoint states about itself in a response. */
+	/** Applies the signals in an endpoint's response. */
 	noteSignals(endpoint: Endpoint, statement: Statement): void {
 		const {clock, log, metrics} = this.#context;
 		for (const header of statement.signals.malformed) {
@@ -237,38 +236,38 @@
 			log('signalMalformed', {endpoint: endpoint.id, service: endpoint.service, header});
 		}
 
-		this.#noteSignalChanges(endpoint.id, this.signals.note(endpoint.id, statement, clock.now()), ownSource);
+		this.#reportSignalChanges(endpoint.id, this.signals.note(endpoint.id, statement, clock.now()), ownSource);
 	}
 
-	/** Takes over rate limits from another host. */
+	/** Merges rate limits from another host. */
 	receiveLimits(limits: readonly RateLimit[], from: string): void {
 		for (const limit of limits) {
 			if (this.book.isKnown(limit.endpoint)) {
-				this.#noteSignalChanges(limit.endpoint, this.signals.mergeLimit(limit, from, this.#context.clock.now()), from);
+				this.#reportSignalChanges(limit.endpoint, this.signals.mergeLimit(limit, from, this.#context.clock.now()), from);
 			}
 		}
 	}
 
-	/** Takes over drain notices from another host. */
+	/** Merges drain notices from another host. */
 	receiveDrains(endpoints: readonly string[], from: string): void {
 		for (const endpoint of endpoints) {
-			this.#noteSignalChanges(endpoint, this.signals.mergeDrain(endpoint, from), from);
+			this.#reportSignalChanges(endpoint, this.signals.mergeDrain(endpoint, from), from);
 		}
 	}
 
-	/** Endpoints that drain and that the directory still lists. */
+	/** Draining endpoints that the directory still lists. */
 	listDraining(): string[] {
 		return this.signals.listDraining().filter(id => this.book.isKnown(id));
 	}
 
-	/** Shortest time until an endpoint of a service may get a request, in milliseconds; undefined: one may now, or there is none. */
+	/** Shortest time until an endpoint of a service may be sent a request, in milliseconds; undefined: one may now, or there is none. */
 	shortestWaitMs(service: string, stage: Endpoint['stage']): number | undefined {
 		const now = this.#context.clock.now();
 		const waits = this.book.listReady(service).filter(each => each.stage === stage).map(({id}) => this.signals.waitMs(id, now));
 		return waits.length === 0 || waits.includes(0) ? undefined : Math.min(...waits);
 	}
 
-	/** Takes over another host's pause. */
+	/** Merges a pause from another host. */
 	hearPause(pause: Pause, from: string): void {
 		const {clock, log, metrics} = this.#context;
 		if (from !== ownOrder && isOff(this.#context, 'pauseNews')) {
@@ -281,7 +280,7 @@
 		}
 	}
 
-	#noteSignalChanges(endpoint: string, changes: readonly SignalChange[], source: string): void {
+	#reportSignalChanges(endpoint: string, changes: readonly SignalChange[], source: string): void {
 		const {log, metrics} = this.#context;
 		for (const {signal, change, value} of changes) {
 			log('endpointSignal', {
@@ -289,55 +288,55 @@
 			});
 			metrics.add('signals', {signal, change, source: source === ownSource ? ownSource : 'peer'});
 			if (source === ownSource) {
-				this.#announce[signal](endpoint);
+				this.#signalHandlers[signal](endpoint);
 			}
 		}
 	}
 
-	/** How late this host learns that an endpoint leaves, and whether it sent there although another host had read it. */
-	#noteDeparture({id, service}: Endpoint, ageMs: number): void {
+	/** Records how late this host learns of a departure, and logs if it sent to the endpoint after another host had read the change. */
+	#reportDeparture({id, service}: Endpoint, ageMs: number): void {
 		const {clock, log, metrics} = this.#context;
 		metrics.time('departure', ageMs);
-		const sentMs = clock.now() - (this.#uses.get(id)?.beganAt ?? Number.NEGATIVE_INFINITY);
-		if (sentMs < ageMs) {
+		const sinceSendMs = clock.now() - (this.#uses.get(id)?.lastSentAt ?? Number.NEGATIVE_INFINITY);
+		if (sinceSendMs < ageMs) {
 			log('sentToLeaving', {
-				endpoint: id, service, sentMs: Math.round(sentMs), ageMs: Math.round(ageMs),
+				endpoint: id, service, sentMs: Math.round(sinceSendMs), ageMs: Math.round(ageMs),
 			});
 		}
 	}
 
-	/** Endpoints of one part of a service that take new work, and those of this host's subset among them. */
+	/** Endpoints of one stage of a service that take new work, and which of them are in this host's subset. */
 	#listCandidates(service: string, stage: Endpoint['stage']): Candidates {
 		const now = this.#context.clock.now();
 		const candidates = this.book.listReady(service).filter(each => each.stage === stage && this.signals.waitMs(each.id, now) === 0);
-		return {candidates, near: this.#near.list(candidates, this.#listener.subset())};
+		return {candidates, subsetIds: this.#subsets.list(candidates, this.#listener.subset())};
 	}
 
-	#standingOf(endpoint: Endpoint, {tokens, bearable, near}: Weighing, now: number): EndpointStatus {
+	#standingOf(endpoint: Endpoint, {tokens, bearable, subsetIds}: PlacementContext, now: number): EndpointStatus {
 		const use = this.#uses.get(endpoint.id);
 		return {
 			load: this.#loadOf(endpoint, use, bearable, now),
 			isUsable: this.health.isUsable(endpoint.id, now),
 			failureRate: this.health.badness(endpoint.id, now),
-			hasConnection: use?.connections.hasFree ?? false,
+			hasConnection: use?.connections.hasIdle ?? false,
 			isFull: this.isFull(endpoint.id, tokens),
-			isInOtherSubset: !isNear(endpoint.id, near),
-			isLimited: this.signals.limitOf(endpoint.id) !== undefined && now - (use?.beganAt ?? Number.NEGATIVE_INFINITY) < limitProbeMs,
+			isInOtherSubset: !isInSubset(endpoint.id, subsetIds),
+			isLimited: this.signals.limitOf(endpoint.id) !== undefined && now - (use?.lastSentAt ?? Number.NEGATIVE_INFINITY) < limitProbeMs,
 			isRamping: this.#context.random.next() >= this.signals.rampShare(endpoint.id, now),
 		};
 	}
 
-	/** A prefill replica's load is its queue, a decode replica's the memory taken from here and by the hosts that say so, another's the requests from here. */
+	/** Load of an endpoint: the queue of a prefill replica, the memory that this host and its peers use at a decode replica, otherwise this host's sends per slot. */
 	#loadOf({id, stage, slots}: Endpoint, use: EndpointUse | undefined, bearable: number, now: number): number {
 		if (stage === 'prefill') {
-			return this.queueOf(id).estimateMs(0, now) / wholeQueueMs;
+			return this.queueOf(id).estimateMs(0, now) / fullLoadQueueMs;
 		}
 
 		if (bearable > 0) {
 			return ((use?.tokens ?? 0) + this.#peerUse.sum(id, now)) / bearable;
 		}
 
-		return (use?.open ?? 0) / Math.max(1, slots);
+		return (use?.inFlight ?? 0) / Math.max(1, slots);
 	}
 
 	#useOf({id}: Endpoint): EndpointUse {
@@ -352,45 +351,44 @@
 		return use;
 	}
 
-	/** Requests in work go on; nothing new starts. */
+	/** Removes an endpoint's state; its connections stay open while sends are in flight. */
 	#forget(id: string): void {
 		const use = this.#uses.get(id);
 		this.health.forget(id);
 		this.signals.forgetLimit(id);
 		this.#queues.delete(id);
 		this.#peerUse.forget(id);
-		if (use?.open === 0) {
+		if (use?.inFlight === 0) {
 			use.connections.destroy();
 			this.#uses.delete(id);
 		}
 	}
 }
 
-function isNear(id: string, near: Candidates['near']): boolean {
-	return near?.has(id) ?? true;
+function isInSubset(id: string, subsetIds: Candidates['subsetIds']): boolean {
+	return subsetIds?.has(id) ?? true;
 }
 
-/** Endpoints that may be sent to. */
+/** Endpoints that may be selected. */
 type Candidates = {
 	readonly candidates: readonly Endpoint[];
-	/** Those of this host's subset; undefined: all are. */
-	readonly near: ReadonlySet<string> | undefined;
+	/** Ids of those in this host's subset; undefined: all are. */
+	readonly subsetIds: ReadonlySet<string> | undefined;
 };
 
-/** What endpoints are weighed for. */
-type Weighing = Pick<Candidates, 'near'> & {
+type PlacementContext = Pick<Candidates, 'subsetIds'> & {
 	readonly tokens: number;
 	readonly bearable: number;
 };
 
-/** What a send looks for. */
-export type OrderWish = {
+/** Requirements of a send for its endpoint. */
+export type PlacementRequest = {
 	readonly stage: 'prefill' | 'decode' | undefined;
-	/** The hall that is preferred. */
+	/** The preferred hall. */
 	readonly hall: string;
-	/** Memory that the send needs, where memory bounds it. */
+	/** Memory that the send needs, in tokens; absent where memory is no limit. */
 	readonly tokens?: number;
 	readonly weights: PlacementWeights;
-	/** Tokens that one endpoint bears, to weigh the own ones against; 0: requests are weighed against slots. */
+	/** Memory capacity of one endpoint, in tokens, relative to which the load is measured; 0: load is measured in requests per slot. */
 	readonly bearable: number;
 };
--- a/packages/relay/src/upstream/exchange.test.ts
+++ b/packages/relay/src/upstream/exchange.test.ts
@@ -1,4 +1,4 @@
-/** What an exchange says of answers that are whole, cut or doubled, against raw sockets. */
+/** Complete, truncated and duplicate responses, from raw sockets. */
 import {Buffer} from 'node:buffer';
 import {
 	createServer, type AddressInfo, type Server, type Socket,
@@ -7,34 +7,34 @@
 import {systemClock} from '@gatehead/policy/utils/clock';
 import {ignore} from '@gatehead/policy/utils/ignore';
 import {expect} from 'earl';
-import {Connections, noteRest} from './connections.js';
+import {ConnectionPool, setIdleTimeout} from './connection-pool.js';
 import {
 	exchange, ExchangeError, readBody, type ExchangeFault,
 } from './exchange.js';
 
 type Case = {
 	readonly name: string;
-	/** What the endpoint does once a request has come. */
+	/** How the endpoint responds to data. */
 	readonly answer: (socket: Socket) => void;
 	readonly body?: string;
-	readonly error?: {readonly left: boolean; readonly fault: ExchangeFault};
+	readonly error?: {readonly mayHaveBeenSent: boolean; readonly fault: ExchangeFault};
 };
 
 const head = 'HTTP/1.1 200 OK\r\n';
 
 const cases: readonly Case[] = [
 	{
-		name: 'an answer with its length is whole', body: 'hello', answer(socket) {
+		name: 'a response with a content length is complete', body: 'hello', answer(socket) {
 			socket.write(`${head}Content-Length: 5\r\n\r\nhello`);
 		},
 	},
 	{
-		name: 'an answer without a length that ends with its connection is whole', body: 'hello', answer(socket) {
+		name: 'a close-delimited response is complete', body: 'hello', answer(socket) {
 			socket.end(`${head}\r\nhello`);
 		},
 	},
 	{
-		name: 'an answer without a length that is reset is cut', error: {left: true, fault: 'reset'}, answer(socket) {
+		name: 'a close-delimited response that is reset is truncated', error: {mayHaveBeenSent: true, fault: 'reset'}, answer(socket) {
 			socket.write(`${head}\r\nhel`);
 			setTimeout(() => {
 				socket.resetAndDestroy();
@@ -42,23 +42,23 @@
 		},
 	},
 	{
-		name: 'an answer without a length whose reset comes with its last bytes is cut', error: {left: true, fault: 'reset'}, answer(socket) {
+		name: 'a close-delimited response whose reset arrives with the last bytes is truncated', error: {mayHaveBeenSent: true, fault: 'reset'}, answer(socket) {
 			socket.write(`${head}\r\nhel`);
 			socket.resetAndDestroy();
 		},
 	},
 	{
-		name: 'an answer shorter than its length is cut', error: {left: true, fault: 'reset'}, answer(socket) {
+		name: 'a response shorter than its content length is truncated', error: {mayHaveBeenSent: true, fault: 'reset'}, answer(socket) {
 			socket.end(`${head}Content-Length: 9\r\n\r\nhello`);
 		},
 	},
 	{
-		name: 'a connection that closes without an answer may have run the request', error: {left: true, fault: 'reset'}, answer(socket) {
+		name: 'a request may have run if the connection closes without a response', error: {mayHaveBeenSent: true, fault: 'reset'}, answer(socket) {
 			socket.destroy();
 		},
 	},
 	{
-		name: 'bytes that are no answer may have run the request', error: {left: true, fault: 'reset'}, answer(socket) {
+		name: 'a request may have run if the response is not HTTP', error: {mayHaveBeenSent: true, fault: 'reset'}, answer(socket) {
 			socket.write('nonsense\r\n\r\n');
 		},
 	},
@@ -67,7 +67,7 @@
 async function listen(answer: Case['answer']): Promise<{readonly server: Server; readonly address: string}> {
 	const server = createServer(socket => {
 		socket.on('error', () => {
-			// The other side may have gone first
+			// The client may close the connection first
 		});
 		socket.on('data', () => {
 			answer(socket);
@@ -80,20 +80,20 @@
 	return {server, address: `127.0.0.1:${typeof bound === 'object' && bound !== null ? bound.port : 0}`};
 }
 
-function order(address: string) {
+function createRequest(address: string) {
 	return {
 		address, method: 'GET', target: '/', headers: ['Host', address], body: undefined,
 	};
 }
 
-function limits(signal = new AbortController().signal) {
+function createOptions(signal = new AbortController().signal) {
 	return {
 		clock: systemClock, connectMs: 5000, headMs: 5000, signal,
 	};
 }
 
-async function play(address: string, connections: Connections): Promise<string> {
-	const response = await exchange(order(address), connections, limits());
+async function fetchBody(address: string, connections: ConnectionPool): Promise<string> {
+	const response = await exchange(createRequest(address), connections, createOptions());
 	return Buffer.from(await readBody(response, 1000)).toString('utf8');
 }
 
@@ -101,13 +101,13 @@
 	for (const {name, answer, body, error} of cases) {
 		it(name, async () => {
 			const {server, address} = await listen(answer);
-			const connections = new Connections(2, ignore);
+			const connections = new ConnectionPool(2, ignore);
 			try {
-				const result = await play(address, connections).catch((error_: unknown) => error_);
+				const result = await fetchBody(address, connections).catch((error_: unknown) => error_);
 				if (error === undefined) {
 					expect(result).toEqual(body);
 				} else {
-					expect(result instanceof ExchangeError && {left: result.left, fault: result.fault}).toEqual(error);
+					expect(result instanceof ExchangeError && {mayHaveBeenSent: result.mayHaveBeenSent, fault: result.fault}).toEqual(error);
 				}
 			} finally {
 				connections.destroy();
@@ -116,30 +116,30 @@
 		});
 	}
 
-	it('a connection that cannot be had proves that nothing left', async () => {
+	it('a refused connection proves that nothing was sent', async () => {
 		const {server, address} = await listen(() => {
-			// Never asked
+			// Never called
 		});
 		await new Promise<void>(resolve => {
 			server.close(() => {
 				resolve();
 			});
 		});
-		const result = await play(address, new Connections(2, ignore)).catch((error: unknown) => error);
-		expect(result instanceof ExchangeError && result.left).toEqual(false);
+		const result = await fetchBody(address, new ConnectionPool(2, ignore)).catch((error: unknown) => error);
+		expect(result instanceof ExchangeError && result.mayHaveBeenSent).toEqual(false);
 	});
 
-	it('a connection on which a second answer comes is not used again', async () => {
+	it('a connection with a duplicate response is not reused', async () => {
 		let connected = 0;
 		const {server, address} = await listen(socket => {
 			connected += 1;
 			socket.write(`${head}Content-Length: 5\r\n\r\nhello${head}Content-Length: 5\r\n\r\nwrong`);
 		});
-		const connections = new Connections(2, ignore);
+		const connections = new ConnectionPool(2, ignore);
 		try {
 			for (let time = 0; time < 2; time += 1) {
-				const response = await exchange(order(address), connections, limits());
-				noteRest(response.socket, 5000);
+				const response = await exchange(createRequest(address), connections, createOptions());
+				setIdleTimeout(response.socket, 5000);
 				expect(Buffer.from(await readBody(response, 1000)).toString('utf8')).toEqual('hello');
 				await new Promise(resolve => {
 					setImmediate(resolve);
@@ -153,17 +153,17 @@
 		}
 	});
 
-	it('a connection that is used often gathers no listeners', async () => {
+	it('a reused connection does not accumulate listeners', async () => {
 		const {server, address} = await listen(socket => {
 			socket.write(`${head}Content-Length: 5\r\n\r\nhello`);
 		});
-		const connections = new Connections(1, ignore);
+		const connections = new ConnectionPool(1, ignore);
 		const counts: number[] = [];
 		try {
 			for (let time = 0; time < 4; time += 1) {
-				const response = await exchange(order(address), connections, limits());
+				const response = await exchange(createRequest(address), connections, createOptions());
 				const {socket} = response;
-				noteRest(socket, 5000);
+				setIdleTimeout(socket, 5000);
 				await readBody(response, 1000);
 				await new Promise(resolve => {
 					setImmediate(resolve);
--- a/packages/relay/src/upstream/exchange.ts
+++ b/packages/relay/src/upstream/exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One HTTP exchange with an endpoint. Safety: `left` is true from the moment
- * on at which a byte of the request may have reached the endpoint; only an
- * error with `left` unset proves that the request did not run.
+ * One HTTP exchange with an endpoint. Safety: `mayHaveBeenSent` is true as
+ * soon as a byte of the request may have reached the endpoint. Only an error
+ * with `mayHaveBeenSent` false proves that the request did not run.
  */
 import {
 	request as httpRequest, type ClientRequest, type IncomingMessage,
@@ -11,176 +11,175 @@
 import {splitAddress} from '@gatehead/schema/address';
 import {type Clock, type Timer} from '@gatehead/policy/utils/clock';
 import {readBytes} from '../utils/read-bytes.js';
-import {spoil, type Connections} from './connections.js';
+import {preventReuse, type ConnectionPool} from './connection-pool.js';
 
-/** What is sent. */
-export type Order = {
+/** A request to an endpoint. */
+export type OutgoingRequest = {
 	readonly address: string;
 	readonly method: string;
-	/** Path and query as the caller sent them. */
+	/** Path and query, as the caller sent them. */
 	readonly target: string;
-	/** Names and values by turns. */
+	/** Alternating names and values. */
 	readonly headers: readonly string[];
 	readonly body: Uint8Array | undefined;
 };
 
-/** Why an exchange failed. */
 export type ExchangeFault = 'connect' | 'reset' | 'silent' | 'aborted' | 'tooLarge';
 
-/** A failed exchange. */
+/** A failed exchange. `mayHaveBeenSent`: a byte of the request may have reached the endpoint. */
 export class ExchangeError extends Error {
-	readonly left: boolean;
+	readonly mayHaveBeenSent: boolean;
 	readonly fault: ExchangeFault;
 
-	constructor(fault: ExchangeFault, left: boolean, cause?: unknown) {
+	constructor(fault: ExchangeFault, mayHaveBeenSent: boolean, cause?: unknown) {
 		super(`${fault}${cause instanceof Error ? `: ${cause.message}` : ''}`, {cause});
 		this.fault = fault;
-		this.left = left;
+		this.mayHaveBeenSent = mayHaveBeenSent;
 	}
 }
 
-/** Answers whose connection failed behind their head: Node calls one without a length complete even then. */
-const cutAnswers = new WeakSet<IncomingMessage>();
+/** Responses whose connection failed after the headers. Node reports a close-delimited response as complete even then. */
+const truncatedResponses = new WeakSet<IncomingMessage>();
 
-/** Whether an answer that has ended lacks a part. */
+/** Whether an ended response is incomplete. */
 export function isCut(response: IncomingMessage): boolean {
-	return !response.complete || cutAnswers.has(response);
+	return !response.complete || truncatedResponses.has(response);
 }
 
-/** Whether an answer ends with its connection alone. */
-function isUnframed({headers}: IncomingMessage): boolean {
+/** Whether only the end of the connection ends the response's body. */
+function isCloseDelimited({headers}: IncomingMessage): boolean {
 	return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 }
 
 /**
- * Tells a closed connection from a reset one. libuv reports a plain end where
- * a reset comes together with the last bytes, and the error is lost; a write
- * brings it out. The other side has closed and reads no more.
+ * Distinguishes a reset connection from a closed one. Where a reset arrives
+ * with the last bytes, libuv reports a normal end; a write then fails with the
+ * error. The endpoint has closed the connection and ignores the written bytes.
  */
-function probeEnd(response: IncomingMessage): void {
+function probeForReset(response: IncomingMessage): void {
 	const {socket} = response;
 	socket.prependOnceListener('end', () => {
 		if (socket.writable) {
 			socket.write('\r\n', error => {
 				if (error) {
-					cutAnswers.add(response);
+					truncatedResponses.add(response);
 				}
 			});
 		}
 	});
 }
 
-/** Waits until a reset that came with an answer's last bytes has shown itself. */
+/** Waits until a reset that arrived with a response's last bytes is reported. */
 export async function settleEnd(response: IncomingMessage): Promise<void> {
-	if (isUnframed(response)) {
+	if (isCloseDelimited(response)) {
 		await setImmediate();
 		await setImmediate();
 	}
 }
 
-/** How long an exchange may take until its head is there, and what ends it. */
-export type ExchangeLimits = {
+/** Timeouts and cancellation of an exchange. */
+export type ExchangeOptions = {
 	readonly clock: Clock;
 	readonly connectMs: number;
-	/** Time until the answer's head, from the start. */
+	/** Time until the response headers, from when the request is written, in milliseconds. */
 	readonly headMs: number;
 	readonly signal: AbortSignal;
-	/** Asked right before the first byte leaves; false: nothing is sent. */
-	readonly mayLeave?: () => boolean;
+	/** Called right before the first byte is written; if it returns false, nothing is sent. */
+	readonly maySend?: () => boolean;
 };
 
 type ExchangeState = {
-	left: boolean;
+	mayHaveBeenSent: boolean;
 	fault: ExchangeFault;
 	timer: Timer | undefined;
 };
 
-/** Writes the request once its connection is there. */
-function writeOn(call: ClientRequest, socket: Socket, order: Order, limits: ExchangeLimits, state: ExchangeState): void {
-	if (limits.signal.aborted || limits.mayLeave?.() === false) {
+/** Writes the request to its established connection. */
+function sendRequest(clientRequest: ClientRequest, socket: Socket, outgoing: OutgoingRequest, options: ExchangeOptions, state: ExchangeState): void {
+	if (options.signal.aborted || options.maySend?.() === false) {
 		state.fault = 'aborted';
-		call.destroy(new Error('no longer wanted'));
+		clientRequest.destroy(new Error('canceled before the request was sent'));
 		return;
 	}
 
-	state.left = true;
+	state.mayHaveBeenSent = true;
 	state.fault = 'reset';
 	state.timer?.stop();
-	state.timer = limits.clock.after(limits.headMs, () => {
+	state.timer = options.clock.after(options.headMs, () => {
 		state.fault = 'silent';
-		call.destroy(new Error('no answer'));
+		clientRequest.destroy(new Error('timed out waiting for the response headers'));
 	});
-	if (order.body === undefined) {
-		call.end();
+	if (outgoing.body === undefined) {
+		clientRequest.end();
 	} else {
-		call.end(order.body);
+		clientRequest.end(outgoing.body);
 	}
 
-	call.once('response', () => {
-		// An answer that comes before the body is written leaves the rest of the body in the connection
-		if (!call.writableFinished) {
-			spoil(socket);
+	clientRequest.once('response', () => {
+		// The rest of the body would still go out on the connection
+		if (!clientRequest.writableFinished) {
+			preventReuse(socket);
 		}
 	});
 }
 
-/** Sends a request and resolves with the answer's head; raises an `ExchangeError`. */
-export async function exchange(order: Order, connections: Connections, limits: ExchangeLimits): Promise<IncomingMessage> {
-	const {ip, port} = splitAddress(order.address);
-	const state: ExchangeState = {left: false, fault: 'connect', timer: undefined};
+/** Sends a request and resolves once the response headers arrive; rejects with an `ExchangeError`. */
+export async function exchange(outgoing: OutgoingRequest, connections: ConnectionPool, options: ExchangeOptions): Promise<IncomingMessage> {
+	const {ip, port} = splitAddress(outgoing.address);
+	const state: ExchangeState = {mayHaveBeenSent: false, fault: 'connect', timer: undefined};
 	return new Promise<IncomingMessage>((resolve, reject) => {
-		const call = httpRequest({
-			host: ip, port, method: order.method, path: order.target, headers: order.headers, agent: connections,
+		const clientRequest = httpRequest({
+			host: ip, port, method: outgoing.method, path: outgoing.target, headers: outgoing.headers, agent: connections,
 		});
-		state.timer = limits.clock.after(limits.connectMs, () => {
-			call.destroy(new Error('no connection'));
+		state.timer = options.clock.after(options.connectMs, () => {
+			clientRequest.destroy(new Error('timed out waiting for a connection'));
 		});
 		const abort = () => {
 			state.fault = 'aborted';
-			call.destroy(new Error('aborted'));
+			clientRequest.destroy(new Error('aborted'));
 		};
 
-		limits.signal.addEventListener('abort', abort, {once: true});
-		call.once('socket', socket => {
+		options.signal.addEventListener('abort', abort, {once: true});
+		clientRequest.once('socket', socket => {
 			if (socket.connecting) {
 				socket.once('connect', () => {
-					writeOn(call, socket, order, limits, state);
+					sendRequest(clientRequest, socket, outgoing, options, state);
 				});
 			} else {
-				writeOn(call, socket, order, limits, state);
+				sendRequest(clientRequest, socket, outgoing, options, state);
 			}
 		});
-		call.once('response', response => {
+		clientRequest.once('response', response => {
 			state.timer?.stop();
-			call.once('error', () => {
-				cutAnswers.add(response);
+			clientRequest.once('error', () => {
+				truncatedResponses.add(response);
 			});
-			if (isUnframed(response)) {
-				probeEnd(response);
+			if (isCloseDelimited(response)) {
+				probeForReset(response);
 			}
 
 			response.once('close', () => {
-				limits.signal.removeEventListener('abort', abort);
+				options.signal.removeEventListener('abort', abort);
 			});
 			resolve(response);
 		});
-		// Kept for good: an error may follow the answer's head, where the answer's own reader hears of it
-		call.on('error', error => {
+		// Never removed: errors may follow the response headers, and are handled by the response's reader
+		clientRequest.on('error', error => {
 			state.timer?.stop();
-			limits.signal.removeEventListener('abort', abort);
-			reject(new ExchangeError(state.fault, state.left, error));
+			options.signal.removeEventListener('abort', abort);
+			reject(new ExchangeError(state.fault, state.mayHaveBeenSent, error));
 		});
 	});
 }
 
-/** Reads a whole body of at most `most` bytes; raises an `ExchangeError` where it is cut or too large. */
-export async function readBody(response: IncomingMessage, most: number): Promise<Uint8Array> {
-	const body = await readBytes(response, most, () => new ExchangeError('tooLarge', true)).catch((error: unknown) => {
+/** Reads a body of at most `maxBytes` bytes; rejects with an `ExchangeError` if it is truncated or larger. */
+export async function readBody(response: IncomingMessage, maxBytes: number): Promise<Uint8Array> {
+	const body = await readBytes(response, maxBytes, () => new ExchangeError('tooLarge', true)).catch((error: unknown) => {
 		throw error instanceof ExchangeError ? error : new ExchangeError('reset', true, error);
 	});
 	await settleEnd(response);
 	if (isCut(response)) {
-		throw new ExchangeError('reset', true, new Error('the answer was cut'));
+		throw new ExchangeError('reset', true, new Error('the response was truncated'));
 	}
 
 	return body;
--- a/packages/relay/src/upstream/own-calls.ts
+++ b/packages/relay/src/upstream/own-calls.ts
@@ -1,50 +1,51 @@
 /**
- * The relay's own calls to endpoints: reserve memory, give it back, free a
- * prefill's result. Efficiency: none of them runs a request.
+ * Control calls from the relay to endpoints: reserve memory, cancel a
+ * reservation, free a prefill result, change an engine's stage. None of them
+ * runs a request.
  */
 import {type Endpoint} from '@gatehead/schema/routing';
 import {type EndpointCall} from '../core/dialect.js';
 import {type BaseContext, type RelayContext} from '../core/context.js';
-import {noteRest, spoil} from './connections.js';
+import {setIdleTimeout, preventReuse} from './connection-pool.js';
 import {type Endpoints} from './endpoints.js';
 import {exchange, ExchangeError, readBody} from './exchange.js';
 
-/** Longest body of an answer to such a call: some hundred times the usual one. */
-const mostBytes = 65_536;
-/** Time for an answer, in milliseconds: these calls need no slot; a replica that takes longer is not well. */
-const answerMs = 250;
-/** Time for giving something back, in milliseconds: nobody waits for it. */
-const tidyMs = 2000;
+/** Size limit of a control call's response, in bytes. */
+const maxResponseBytes = 65_536;
+/** Timeout of a reservation, in milliseconds: it needs no slot, so a replica that takes longer is unhealthy. */
+const reserveTimeoutMs = 250;
+/** Timeout of calls that no request waits for, in milliseconds. */
+const cleanupTimeoutMs = 2000;
 const okStatus = 200;
 
-/** A signal that never fires: one for each call, since all calls at one moment would listen to a shared one. */
-function never(): AbortSignal {
+/** Returns a signal that is not aborted; each call gets its own, since a shared one would gather the listeners of all calls. */
+function createUnusedSignal(): AbortSignal {
 	return new AbortController().signal;
 }
 
-/** What came of a reservation. */
+/** Outcome of a reservation. */
 export type ReservationAnswer
 	= | {readonly kind: 'granted'; readonly reservation: string}
 		| {readonly kind: 'full'}
 		| {readonly kind: 'failed'; readonly reason: string};
 
-type OwnCallContext = BaseContext & Pick<RelayContext, 'dialect' | 'settings'>;
+type ControlCallContext = BaseContext & Pick<RelayContext, 'dialect' | 'settings'>;
 
-/** Makes the relay's own calls. */
+/** Makes control calls. */
 export class OwnCalls {
-	readonly #context: OwnCallContext;
+	readonly #context: ControlCallContext;
 	readonly #endpoints: Endpoints;
 
-	constructor(context: OwnCallContext, endpoints: Endpoints) {
+	constructor(context: ControlCallContext, endpoints: Endpoints) {
 		this.#context = context;
 		this.#endpoints = endpoints;
 	}
 
-	/** Asks an endpoint for room. */
+	/** Reserves memory for `tokens` tokens at an endpoint, for `lifeMs` milliseconds. */
 	async reserve(endpoint: Endpoint, tokens: number, lifeMs: number, signal: AbortSignal): Promise<ReservationAnswer> {
 		const {dialect, clock, metrics} = this.#context;
 		try {
-			const {status, body} = await this.#call(endpoint, dialect.reserve(tokens, lifeMs), answerMs, signal);
+			const {status, body} = await this.#call(endpoint, dialect.reserve(tokens, lifeMs), reserveTimeoutMs, signal);
 			const reservation = status === okStatus ? dialect.readReservation(body) : undefined;
 			metrics.add('reservations', {outcome: reservation === undefined ? 'full' : 'granted'});
 			if (reservation === undefined) {
@@ -67,34 +68,34 @@
 		}
 	}
 
-	/** Gives a reservation back that nobody uses. */
+	/** Cancels an unused reservation; failures are only logged. */
 	cancelReservation(endpoint: Endpoint, reservation: string): void {
-		void this.#tidy(endpoint, this.#context.dialect.cancelReservation(reservation), 'reservation');
+		void this.#cleanUp(endpoint, this.#context.dialect.cancelReservation(reservation), 'reservation');
 	}
 
-	/** Frees a prefill's result that nobody uses. */
+	/** Frees an unused prefill result; failures are only logged. */
 	freeResult(endpoint: Endpoint, result: string): void {
-		void this.#tidy(endpoint, this.#context.dialect.freeResult(result), 'result');
+		void this.#cleanUp(endpoint, this.#context.dialect.freeResult(result), 'result');
 	}
 
-	/** Orders an engine to change its part; returns the status of its answer, or why there is none. */
+	/** Orders an engine to change its stage; returns the response's status, or the error as text. */
 	async orderStage(endpoint: Endpoint, stage: 'prefill' | 'decode', holder: string, fence: number): Promise<string> {
 		try {
-			const {status} = await this.#call(endpoint, this.#context.dialect.orderStage(endpoint, stage, holder, fence), tidyMs, never());
+			const {status} = await this.#call(endpoint, this.#context.dialect.orderStage(endpoint, stage, holder, fence), cleanupTimeoutMs, createUnusedSignal());
 			return String(status);
 		} catch (error) {
-			// The order may have been taken: what the directory says of the engine decides
+			// The engine may have accepted the order; its directory entry shows the outcome
 			return String(error);
 		}
 	}
 
-	async #tidy(endpoint: Endpoint, call: EndpointCall, what: string): Promise<void> {
+	async #cleanUp(endpoint: Endpoint, call: EndpointCall, what: string): Promise<void> {
 		let outcome = 'freed';
 		try {
-			const {status} = await this.#call(endpoint, call, tidyMs, never());
+			const {status} = await this.#call(endpoint, call, cleanupTimeoutMs, createUnusedSignal());
 			outcome = String(status);
 		} catch (error) {
-			// What is not given back lapses by itself soon; the line says so
+			// Reservations and results expire on their own
 			outcome = String(error);
 		}
 
@@ -112,18 +113,18 @@
 		});
 		const status = response.statusCode ?? 0;
 		const facts = dialect.readResponse(status, response.headers);
-		noteRest(response.socket, facts.keepAliveMs);
+		setIdleTimeout(response.socket, facts.keepAliveMs);
 		if (facts.id !== undefined) {
-			// An answer to somebody's request: late, or twice
-			spoil(response.socket);
+			// The response to a request of a caller, late or duplicated
+			preventReuse(response.socket);
 			response.destroy();
-			throw new ExchangeError('reset', true, new Error('an answer to another request'));
+			throw new ExchangeError('reset', true, new Error('the response belongs to another request'));
 		}
 
 		if (!facts.isAddressReassigned) {
 			this.#endpoints.noteSignals(endpoint, {signals: facts.signals, sentAt: clock.now(), isComplete: false});
 		}
 
-		return {status, body: new TextDecoder().decode(await readBody(response, mostBytes))};
+		return {status, body: new TextDecoder().decode(await readBody(response, maxResponseBytes))};
 	}
 }
--- a/packages/relay/src/upstream/rate-limiter.ts
+++ b/packages/relay/src/upstream/rate-limiter.ts
@@ -1,8 +1,8 @@
 /**
- * Rate limits of endpoints, kept over all hosts: this host's permits, the
- * share of every limit that it lends, and its part as granter while it is the
- * first host by rank. Safety: policy/relay/rate-granter.ts. Without any limit
- * in force no message is sent.
+ * Enforces rate limits of endpoints across all hosts. Each host holds permits
+ * and lends its share of every limit to the granter, which is the first host
+ * by rendezvous rank. Safety: policy/relay/rate-granter.ts. While no limit is
+ * in force, no messages are sent.
  */
 import {rankFirst} from '@gatehead/policy/core/rendezvous';
 import {type SignalBook} from '@gatehead/policy/relay/endpoint-signals';
@@ -16,97 +16,96 @@
 import {PeerRequests} from '../access/peer-requests.js';
 import {type RelayContext} from '../core/context.js';
 
-/** Interval of the rounds in which shares are asked for, in milliseconds: a share outlives two lost rounds. */
+/** Interval of the rounds in which the granter requests shares, in milliseconds: a share outlives two lost rounds. */
 const roundMs = 1000;
-/** Least time between two rounds, in milliseconds, and the same for each host: bounds the granter's messages where endpoints state another limit with each response. */
-const leastRoundMs = 100;
-const leastRoundMsPerHost = 2;
-/** Time that the granter gets to answer, in milliseconds. */
-const answerMs = 120;
-/** Time after which to ask again where no granter answers, in milliseconds. */
-const noGranterWaitMs = 250;
-/** Time for which a host that has seeds and has reached none of them lends nothing, in milliseconds. */
+/** Shortest time between two rounds, in milliseconds, as a constant and for each host, of which the larger counts: bounds the granter's messages where endpoints state a new limit in every response. */
+const minRoundMs = 100;
+const minRoundMsPerHost = 2;
+/** Timeout of a request for permits, in milliseconds. */
+const grantTimeoutMs = 120;
+/** Time until the next request for permits after a timeout, in milliseconds. */
+const noGrantRetryMs = 250;
+/** Time from its start for which a host that has seeds but has reached none of them lends no share, in milliseconds. */
 const isolationMs = 60_000;
-/** Rank by which hosts choose the granter. */
-const granterMatter = 'rate limits';
+/** Key of the rendezvous ranking that selects the granter. */
+const granterRankKey = 'rate limits';
 
-/** What the limiter works with. */
-export type RateLimiterParts = {
+export type RateLimiterOptions = {
 	readonly context: Pick<RelayContext, 'clock' | 'log' | 'metrics' | 'self' | 'settings'>;
 	readonly signals: SignalBook;
-	/** Takes over limits from another host. */
+	/** Merges limits from another host. */
 	readonly receiveLimits: (limits: readonly RateLimit[], from: string) => void;
-	/** Hosts that can be reached, this one among them. */
+	/** Reachable hosts, including this one. */
 	readonly listReachable: () => readonly MemberRecord[];
-	/** Hosts known, those not heard any more among them. */
+	/** Number of known hosts, including unreachable ones. */
 	readonly countKnown: () => number;
 	readonly send: (host: string, message: RelayMessage) => void;
-	/** Closes the stream to a peer; the next message reconnects. */
+	/** Closes the stream to a peer; the next message opens a new one. */
 	readonly renew: (host: string) => void;
 };
 
-/** What came of asking for a permit. */
+/** Outcome of a request for a permit. */
 export type PermitAnswer
 	= | {readonly kind: 'granted'; readonly permit: Permit}
 		| {readonly kind: 'limited'; readonly waitMs: number};
 
-type Desk = {
+type EndpointState = {
 	readonly permits: RatePermits;
-	waiters: Array<(answer: PermitAnswer) => void>;
-	isAsking: boolean;
+	waiting: Array<(answer: PermitAnswer) => void>;
+	isRequesting: boolean;
 };
 
-/** A version of the limits, by the granter that counts it. */
+/** Version of the limits, as counted by one granter. */
 type Version = {
 	readonly granter: Owner;
 	readonly version: number;
 };
 
-/** One host's rate limiter. */
+/** Rate limiter of one host. */
 export class RateLimiter {
-	readonly #parts: RateLimiterParts;
+	readonly #options: RateLimiterOptions;
 	readonly #granter = new RateGranter();
 	readonly #share: RateShare;
 	readonly #questions: PeerRequests<RateGrant>;
-	readonly #desks = new Map<string, Desk>();
+	readonly #states = new Map<string, EndpointState>();
 	readonly #startedAt: number;
-	/** As granter: counts changes of the limits, and which version each host has. */
+	/** On the granter: the version of the limits, and the version that each host has. */
 	#version = 0;
 	readonly #sentVersions = new Map<string, number>();
-	/** As another host: the version that it has. */
-	#known: Version | undefined;
-	#roundAt = Number.NEGATIVE_INFINITY;
-	/** Ranking hundreds of hosts for each request would cost more than the request. */
+	/** On other hosts: the version last received. */
+	#receivedVersion: Version | undefined;
+	#lastRoundAt = Number.NEGATIVE_INFINITY;
+	/** Cached, since ranking hundreds of hosts for each request would cost more than the request. */
 	#granterHost: string | undefined;
 	#isGranterKnown = false;
 	#timer: Timer | undefined;
 
-	constructor(parts: RateLimiterParts) {
-		const {clock} = parts.context;
-		this.#parts = parts;
+	constructor(options: RateLimiterOptions) {
+		const {clock} = options.context;
+		this.#options = options;
 		this.#startedAt = clock.now();
 		this.#share = new RateShare(this.#startedAt);
 		this.#questions = new PeerRequests(clock);
 	}
 
-	/** Whether this host grants permits now. */
+	/** Whether this host is the granter. */
 	get isGranter(): boolean {
-		return this.#findGranter() === this.#parts.context.self.host;
+		return this.#findGranter() === this.#options.context.self.host;
 	}
 
-	/** Stops. */
+	/** Stops the rounds. */
 	close(): void {
 		this.#timer?.stop();
 	}
 
-	/** Gets a permit for a request to an endpoint, waiting for `patienceMs` at most where none is left. */
-	async acquire(endpoint: string, patienceMs = 0): Promise<PermitAnswer> {
-		const {clock} = this.#parts.context;
+	/** Acquires a permit for a request to an endpoint; waits at most `maxWaitMs` milliseconds if none is available. */
+	async acquire(endpoint: string, maxWaitMs = 0): Promise<PermitAnswer> {
+		const {clock} = this.#options.context;
 		const startedAt = clock.now();
 		for (;;) {
-			const answer = await this.#acquireNow(endpoint);
-			const leftMs = startedAt + patienceMs - clock.now();
-			if (answer.kind === 'granted' || answer.waitMs > leftMs) {
+			const answer = await this.#tryAcquire(endpoint);
+			const remainingMs = startedAt + maxWaitMs - clock.now();
+			if (answer.kind === 'granted' || answer.waitMs > remainingMs) {
 				return answer;
 			}
 
@@ -116,108 +115,108 @@
 		}
 	}
 
-	/** Takes a permit back that was not used. */
+	/** Returns an unused permit. */
 	giveBack(endpoint: string, permit: Permit): void {
 		if (permit !== unlimitedPermit) {
-			this.#deskOf(endpoint).permits.putBack(permit);
+			this.#stateOf(endpoint).permits.putBack(permit);
 		}
 	}
 
-	/** Hosts came, went, or were suspected. */
+	/** Called when hosts join, leave or are suspected of failure. */
 	noteFleetChange(): void {
 		this.#isGranterKnown = false;
 	}
 
-	/** An endpoint is gone. */
+	/** Removes the state of an endpoint that is gone. */
 	forget(endpoint: string): void {
-		this.#desks.delete(endpoint);
+		this.#states.delete(endpoint);
 		this.#granter.forget(endpoint);
 	}
 
-	/** A limit began, changed or ended, by an endpoint's response to this host. */
+	/** Called when an endpoint's response to this host started, changed or ended its limit. */
 	noteStated(endpoint: string): void {
-		const {context: {clock, self}, signals, send} = this.#parts;
+		const {context: {clock, self}, signals, send} = this.#options;
 		const granter = this.#findGranter();
-		this.#begin();
+		this.#scheduleRound();
 		if (granter === self.host) {
-			this.#noteLimits();
+			this.#handleLimitChange();
 		} else if (granter !== undefined) {
 			send(granter, {kind: 'rateStated', limits: [signals.describeLimit(endpoint, clock.now())]});
 		}
 	}
 
-	/** Takes limits that endpoints have stated to another host. */
+	/** Handles limits that endpoints stated to another host. */
 	receiveStated(from: string, {limits}: RelayMessageOf<'rateStated'>): void {
-		this.#take(limits, from);
-		this.#begin();
+		this.#mergeLimits(limits, from);
+		this.#scheduleRound();
 	}
 
-	/** Answers the granter's request for this host's share. */
+	/** Responds to the granter's request for this host's share. */
 	receiveRound(from: Owner, {round, hosts, version, limits}: RelayMessageOf<'rateRound'>): void {
-		const {context: {clock}, send, receiveLimits} = this.#parts;
+		const {context: {clock}, send, receiveLimits} = this.#options;
 		if (limits !== undefined) {
 			receiveLimits(limits, from.host);
-			this.#known = {granter: from, version};
+			this.#receivedVersion = {granter: from, version};
 		}
 
-		this.#begin();
-		const isKnown = this.#known?.granter.host === from.host && this.#known.granter.incarnation === from.incarnation;
-		const known = isKnown ? this.#known?.version ?? 0 : 0;
+		this.#scheduleRound();
+		const isKnown = this.#receivedVersion?.granter.host === from.host && this.#receivedVersion.granter.incarnation === from.incarnation;
+		const known = isKnown ? this.#receivedVersion?.version ?? 0 : 0;
 		const isLent = this.#mayLend() && this.#findGranter() === from.host && this.#share.lend(from, clock.now());
 		send(from.host, {
 			kind: 'rateLoan', round, share: isLent ? this.#shareOf(hosts) : 0, version: known,
 		});
 	}
 
-	/** Takes the share of another host. */
+	/** Handles another host's share. */
 	receiveLoan(from: string, {round, share, version}: RelayMessageOf<'rateLoan'>): void {
 		this.#sentVersions.set(from, version);
 		if (share > 0) {
-			this.#granter.addShare(from, round, share, this.#parts.context.clock.now());
+			this.#granter.addShare(from, round, share, this.#options.context.clock.now());
 		}
 	}
 
-	/** Answers a request for permits. */
+	/** Responds to a request for permits. */
 	receiveWanted(from: string, {ask, wanted, limit}: RelayMessageOf<'rateWanted'>): void {
-		this.#take([limit], from);
-		this.#begin();
-		this.#parts.send(from, {kind: 'rateGranted', ask, ...this.#grant(limit, wanted)});
+		this.#mergeLimits([limit], from);
+		this.#scheduleRound();
+		this.#options.send(from, {kind: 'rateGranted', ask, ...this.#grant(limit, wanted)});
 	}
 
-	/** Takes the granter's answer. */
+	/** Handles the granter's response to a request for permits. */
 	receiveGranted({ask, granted, waitMs}: RelayMessageOf<'rateGranted'>): void {
 		this.#questions.settle(ask, {granted, waitMs});
 	}
 
-	/** Merges limits; the next round distributes what changed. */
-	#take(limits: readonly RateLimit[], from: string): void {
-		const {context: {clock}, signals, receiveLimits} = this.#parts;
+	/** Merges limits; if they changed, the granter starts a round that distributes them. */
+	#mergeLimits(limits: readonly RateLimit[], from: string): void {
+		const {context: {clock}, signals, receiveLimits} = this.#options;
 		const before = signals.listLimits(clock.now()).length;
 		const changed = limits.some(({endpoint, perS}) => signals.limitOf(endpoint) !== perS);
 		receiveLimits(limits, from);
 		if (changed || signals.listLimits(clock.now()).length !== before) {
-			this.#noteLimits();
+			this.#handleLimitChange();
 		}
 	}
 
-	/** The limits known here have changed; the granter distributes them at once. */
-	#noteLimits(): void {
+	/** Counts a change of the limits; the granter distributes it at once. */
+	#handleLimitChange(): void {
 		this.#version += 1;
 		if (this.isGranter) {
-			this.#openRound();
+			this.#startRound();
 		}
 	}
 
-	async #acquireNow(endpoint: string): Promise<PermitAnswer> {
-		const {context: {clock}, signals} = this.#parts;
+	async #tryAcquire(endpoint: string): Promise<PermitAnswer> {
+		const {context: {clock}, signals} = this.#options;
 		if (signals.limitOf(endpoint) === undefined) {
 			return {kind: 'granted', permit: unlimitedPermit};
 		}
 
 		const now = clock.now();
-		const desk = this.#deskOf(endpoint);
-		desk.permits.recordDemand(now);
-		const permit = desk.permits.take(now);
+		const state = this.#stateOf(endpoint);
+		state.permits.recordDemand(now);
+		const permit = state.permits.take(now);
 		if (permit !== undefined) {
 			return {kind: 'granted', permit};
 		}
@@ -228,59 +227,59 @@
 		}
 
 		return new Promise(resolve => {
-			desk.waiters.push(resolve);
-			void this.#ask(endpoint, desk);
+			state.waiting.push(resolve);
+			void this.#requestPermits(endpoint, state);
 		});
 	}
 
-	/** Asks until nobody waits; one question an endpoint is under way at a time. */
-	async #ask(endpoint: string, desk: Desk): Promise<void> {
-		if (desk.isAsking) {
+	/** Requests permits until nothing waits for one; at most one request per endpoint is in flight. */
+	async #requestPermits(endpoint: string, state: EndpointState): Promise<void> {
+		if (state.isRequesting) {
 			return;
 		}
 
-		desk.isAsking = true;
+		state.isRequesting = true;
 		try {
-			while (desk.waiters.length > 0) {
-				await this.#askOnce(endpoint, desk);
+			while (state.waiting.length > 0) {
+				await this.#requestPermitsOnce(endpoint, state);
 			}
 		} finally {
-			desk.isAsking = false;
+			state.isRequesting = false;
 		}
 	}
 
-	async #askOnce(endpoint: string, desk: Desk): Promise<void> {
-		const {context: {clock, metrics}, signals} = this.#parts;
-		const askedAt = clock.now();
-		const grant = await this.#question(endpoint, desk.permits.wanted(desk.waiters.length, askedAt));
-		desk.permits.add(grant, askedAt);
+	async #requestPermitsOnce(endpoint: string, state: EndpointState): Promise<void> {
+		const {context: {clock, metrics}, signals} = this.#options;
+		const requestedAt = clock.now();
+		const grant = await this.#requestGrant(endpoint, state.permits.wanted(state.waiting.length, requestedAt));
+		state.permits.add(grant, requestedAt);
 		metrics.add('ratePermits', {outcome: grant.granted > 0 ? 'granted' : 'refused'}, Math.max(1, grant.granted));
-		while (desk.waiters.length > 0) {
-			const permit = desk.permits.take(clock.now());
+		while (state.waiting.length > 0) {
+			const permit = state.permits.take(clock.now());
 			if (permit === undefined) {
 				break;
 			}
 
-			desk.waiters.shift()?.({kind: 'granted', permit});
+			state.waiting.shift()?.({kind: 'granted', permit});
 		}
 
 		if (grant.granted === 0) {
 			signals.notePermitsFrom(endpoint, clock.now() + grant.waitMs);
-			for (const resolve of desk.waiters.splice(0)) {
+			for (const resolve of state.waiting.splice(0)) {
 				resolve({kind: 'limited', waitMs: grant.waitMs});
 			}
 		}
 	}
 
-	async #question(endpoint: string, wanted: number): Promise<RateGrant> {
-		const {context: {clock, self, metrics}, signals, send, renew} = this.#parts;
+	async #requestGrant(endpoint: string, wanted: number): Promise<RateGrant> {
+		const {context: {clock, self, metrics}, signals, send, renew} = this.#options;
 		const granter = this.#findGranter();
 		const limit = signals.describeLimit(endpoint, clock.now());
 		if (granter === undefined || granter === self.host) {
 			return this.#grant(limit, wanted);
 		}
 
-		const grant = await this.#questions.send(answerMs, ask => {
+		const grant = await this.#questions.send(grantTimeoutMs, ask => {
 			send(granter, {
 				kind: 'rateWanted', ask, wanted, limit,
 			});
@@ -291,52 +290,52 @@
 
 		metrics.add('ratePermits', {outcome: 'silent'});
 		renew(granter);
-		return {granted: 0, waitMs: noGranterWaitMs};
+		return {granted: 0, waitMs: noGrantRetryMs};
 	}
 
-	/** Grants permits as granter, and asks for shares where too few are held. Where this host knows of no limit, the asker's counts until the next round. */
+	/** Grants permits as the granter, and starts a round for shares if one is due. If this host knows no limit, the requester's limit applies. */
 	#grant({endpoint, perS}: RateLimit, wanted: number): RateGrant {
-		const {context: {clock}, signals} = this.#parts;
+		const {context: {clock}, signals} = this.#options;
 		const limit = signals.limitOf(endpoint) ?? perS;
 		if (limit === undefined) {
 			return {granted: wanted, waitMs: 0};
 		}
 
-		this.#openDueRound();
+		this.#startDueRound();
 		return this.#granter.grant(endpoint, limit, wanted, clock.now());
 	}
 
-	/** Keeps rounds going while a limit is in force. */
-	#begin(): void {
-		const {context: {clock}, signals} = this.#parts;
+	/** Schedules rounds while a limit is in force. */
+	#scheduleRound(): void {
+		const {context: {clock}, signals} = this.#options;
 		if (this.#timer !== undefined || !signals.hasLimits) {
 			return;
 		}
 
 		this.#timer = clock.after(roundMs, () => {
 			this.#timer = undefined;
-			this.#openDueRound();
-			this.#begin();
+			this.#startDueRound();
+			this.#scheduleRound();
 		});
 	}
 
-	#openDueRound(): void {
-		const {context: {clock, self}} = this.#parts;
-		if (this.isGranter && clock.now() - this.#roundAt >= roundMs * 0.9) {
-			this.#openRound();
+	#startDueRound(): void {
+		const {context: {clock, self}} = this.#options;
+		if (this.isGranter && clock.now() - this.#lastRoundAt >= roundMs * 0.9) {
+			this.#startRound();
 		}
 	}
 
-	#openRound(): void {
-		const {context: {clock, self}, signals, listReachable, countKnown, send} = this.#parts;
+	#startRound(): void {
+		const {context: {clock, self}, signals, listReachable, countKnown, send} = this.#options;
 		const now = clock.now();
 		const hosts = countKnown();
-		if (now - this.#roundAt < Math.max(leastRoundMs, leastRoundMsPerHost * hosts)) {
-			// The timer's next round brings the rest
+		if (now - this.#lastRoundAt < Math.max(minRoundMs, minRoundMsPerHost * hosts)) {
+			// The next scheduled round distributes the change
 			return;
 		}
 
-		this.#roundAt = now;
+		this.#lastRoundAt = now;
 		const round = this.#granter.startRound(now);
 		const limits = signals.listLimits(now);
 		if (this.#mayLend() && this.#share.lend(self, now)) {
@@ -353,16 +352,16 @@
 		}
 	}
 
-	/** A host that has reached no other yet cannot know how small its share is. */
+	/** Whether this host may lend its share. A host that has not reached any other yet does not know how small its share is. */
 	#mayLend(): boolean {
-		const {context: {clock, settings: {seeds, listen}}, countKnown} = this.#parts;
+		const {context: {clock, settings: {seeds, listen}}, countKnown} = this.#options;
 		const own = listen.advertisedPeer ?? listen.peer;
 		const isAlone = countKnown() === 1 && seeds.some(seed => seed !== own);
 		return !isAlone || clock.now() - this.#startedAt >= isolationMs;
 	}
 
 	#shareOf(hosts: number): number {
-		return 1 / Math.max(1, hosts, this.#parts.countKnown());
+		return 1 / Math.max(1, hosts, this.#options.countKnown());
 	}
 
 	#findGranter(): string | undefined {
@@ -370,19 +369,19 @@
 			return this.#granterHost;
 		}
 
-		const alive = this.#parts.listReachable().filter(({state}) => state === 'alive');
-		this.#granterHost = rankFirst(granterMatter, alive.map(({host}) => host));
+		const alive = this.#options.listReachable().filter(({state}) => state === 'alive');
+		this.#granterHost = rankFirst(granterRankKey, alive.map(({host}) => host));
 		this.#isGranterKnown = true;
 		return this.#granterHost;
 	}
 
-	#deskOf(endpoint: string): Desk {
-		let desk = this.#desks.get(endpoint);
-		if (desk === undefined) {
-			desk = {permits: new RatePermits(), waiters: [], isAsking: false};
-			this.#desks.set(endpoint, desk);
+	#stateOf(endpoint: string): EndpointState {
+		let state = this.#states.get(endpoint);
+		if (state === undefined) {
+			state = {permits: new RatePermits(), waiting: [], isRequesting: false};
+			this.#states.set(endpoint, state);
 		}
 
-		return desk;
+		return state;
 	}
 }
