--- a/packages/relay/src/upstream/crash-guard.test.ts
+++ b/packages/relay/src/upstream/crash-guard.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: what a host makes of lost sends, of signs of life and of what the other hosts tell; which requests it then holds back. */
+/** Which requests a host holds back after lost sends, response data and reports from other hosts. */
 import {describe, it} from 'node:test';
 import {ManualClock} from '@gatehead/policy/utils/manual-clock';
 import {type CrashReport} from '@gatehead/schema/relay-message';
@@ -18,19 +18,19 @@
 	},
 });
 
-function makeEndpoint(id: string, startedAt?: number): Endpoint {
+function createEndpoint(id: string, startedAt?: number): Endpoint {
 	return {
 		id: startedAt === undefined ? id : `${id}@${startedAt}`, instance: id, service: 's', address, hall: 'h', state: 'ready', slots: 8,
 	};
 }
 
-/** One host, as far as the guard sees it. */
-class Bench {
+/** A crash guard with the dependencies that it needs. */
+class GuardHarness {
 	readonly clock = new ManualClock();
-	readonly told: CrashReport[] = [];
+	readonly broadcastReports: CrashReport[] = [];
 	readonly codes: Code[] = [];
-	/** Endpoints that answer no connection. */
-	readonly down = new Set<string>();
+	/** Endpoints that accept no connections. */
+	readonly crashed = new Set<string>();
 	isTrialHost = true;
 	readonly guard = new CrashGuard({
 		context: {
@@ -41,212 +41,213 @@
 			metrics: new Metrics(undefined, {}),
 			settings,
 		},
-		hasEnded: async ({id, instance}) => this.down.has(instance ?? id),
+		hasEnded: async ({id, instance}) => this.crashed.has(instance ?? id),
 		tell: reports => {
-			this.told.push(...reports);
+			this.broadcastReports.push(...reports);
 		},
 		isTrialHost: () => this.isTrialHost,
 	});
 
-	makeJob(text = 'guilty'): Job {
+	createJob(text = 'harmful'): Job {
 		const job = {
 			id: 'r', route: {name: 'route'}, content: new RequestContent({
 				authority: 'a', method: 'POST', target: '/x', workspace: undefined, body: new TextEncoder().encode(text),
 			}), isContentHeld: false, isProbe: false,
 		};
-		return job as unknown as Job; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the guard reads no more of a job
+		return job as unknown as Job; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the guard reads no other properties of a job
 	}
 
-	/** A send is lost; `answeredMs` ago its answer began. */
-	async lose(endpoint: Endpoint, {answeredMs, isCut = true, text}: {readonly answeredMs?: number; readonly isCut?: boolean; readonly text?: string} = {}): Promise<void> {
+	/** Loses a send; its response started `answeredMs` milliseconds ago, or not at all. */
+	async loseSend(endpoint: Endpoint, {answeredMs, isConnectionLost = true, text}: {readonly answeredMs?: number; readonly isConnectionLost?: boolean; readonly text?: string} = {}): Promise<void> {
 		const now = this.clock.now();
-		this.guard.noteLoss({
-			job: this.makeJob(text), step: 'decode', endpoint, inWork: 1, sentAt: now - 1000, answeredAt: answeredMs === undefined ? undefined : now - answeredMs, isCut, reason: 'reset',
+		this.guard.recordLoss({
+			job: this.createJob(text), step: 'decode', endpoint, inFlight: 1, sentAt: now - 1000, answeredAt: answeredMs === undefined ? undefined : now - answeredMs,
+			isConnectionLost, reason: 'reset',
 		});
 		await Promise.resolve();
 		await Promise.resolve();
 		this.clock.advance(1000);
 	}
 
-	/** An endpoint ends under the guilty content. */
-	async end(id: string, startedAt?: number): Promise<void> {
-		this.down.add(id);
-		await this.lose(makeEndpoint(id, startedAt));
+	/** Crashes an endpoint with the harmful content. */
+	async crash(id: string, startedAt?: number): Promise<void> {
+		this.crashed.add(id);
+		await this.loseSend(createEndpoint(id, startedAt));
 	}
 
 	get isHeld(): boolean {
-		return !this.guard.mayRun(this.makeJob());
+		return !this.guard.maySend(this.createJob());
 	}
 }
 
 type Case = {
 	readonly name: string;
-	readonly play: (bench: Bench) => Promise<void>;
+	readonly run: (harness: GuardHarness) => Promise<void>;
 	readonly isHeld: boolean;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'two endpoints end', isHeld: true, async play(bench) {
-			await bench.end('e1');
-			await bench.end('e2');
+		name: 'two endpoints crash', isHeld: true, async run(harness) {
+			await harness.crash('e1');
+			await harness.crash('e2');
 		},
 	},
 	{
-		name: 'one endpoint ends twice under its id', isHeld: true, async play(bench) {
-			await bench.end('e1', 1);
-			await bench.end('e1', 5000);
+		name: 'one endpoint crashes in two starts', isHeld: true, async run(harness) {
+			await harness.crash('e1', 1);
+			await harness.crash('e1', 5000);
 		},
 	},
 	{
-		name: 'one endpoint ends twice under its id, and only its entry was made anew', isHeld: true, async play(bench) {
-			bench.down.add('e1');
-			await bench.lose({...makeEndpoint('e1'), listedSince: 3});
-			await bench.lose({...makeEndpoint('e1'), listedSince: 9});
+		name: 'one endpoint crashes twice under the same id, with a new directory entry', isHeld: true, async run(harness) {
+			harness.crashed.add('e1');
+			await harness.loseSend({...createEndpoint('e1'), listedSince: 3});
+			await harness.loseSend({...createEndpoint('e1'), listedSince: 9});
 		},
 	},
 	{
-		name: 'two endpoints that live cut a connection', isHeld: false, async play(bench) {
-			await bench.lose(makeEndpoint('e1'));
-			await bench.lose(makeEndpoint('e2'));
+		name: 'two running endpoints close a connection', isHeld: false, async run(harness) {
+			await harness.loseSend(createEndpoint('e1'));
+			await harness.loseSend(createEndpoint('e2'));
 		},
 	},
 	{
-		name: 'streams that had been coming for a while', isHeld: false, async play(bench) {
-			bench.down.add('e1').add('e2');
-			await bench.lose(makeEndpoint('e1'), {answeredMs: 400});
-			await bench.lose(makeEndpoint('e2'), {answeredMs: 400});
+		name: 'connections lost after streaming for a while', isHeld: false, async run(harness) {
+			harness.crashed.add('e1').add('e2');
+			await harness.loseSend(createEndpoint('e1'), {answeredMs: 400});
+			await harness.loseSend(createEndpoint('e2'), {answeredMs: 400});
 		},
 	},
 	{
-		name: 'endpoints that stay silent and are gone later', isHeld: true, async play(bench) {
-			await bench.lose(makeEndpoint('e1'), {isCut: false});
-			await bench.lose(makeEndpoint('e2'), {isCut: false});
-			bench.guard.noteGone(makeEndpoint('e1'));
-			bench.guard.noteGone(makeEndpoint('e2'));
+		name: 'abandoned sends at endpoints that are gone later', isHeld: true, async run(harness) {
+			await harness.loseSend(createEndpoint('e1'), {isConnectionLost: false});
+			await harness.loseSend(createEndpoint('e2'), {isConnectionLost: false});
+			harness.guard.noteGone(createEndpoint('e1'));
+			harness.guard.noteGone(createEndpoint('e2'));
 		},
 	},
 	{
-		name: 'endpoints that are known to be gone before the send is given up', isHeld: true, async play(bench) {
-			bench.guard.noteGone(makeEndpoint('e1'));
-			await bench.lose(makeEndpoint('e1'), {isCut: false});
-			bench.guard.noteGone(makeEndpoint('e2'));
-			await bench.lose(makeEndpoint('e2'), {isCut: false});
+		name: 'abandoned sends at endpoints that are already gone', isHeld: true, async run(harness) {
+			harness.guard.noteGone(createEndpoint('e1'));
+			await harness.loseSend(createEndpoint('e1'), {isConnectionLost: false});
+			harness.guard.noteGone(createEndpoint('e2'));
+			await harness.loseSend(createEndpoint('e2'), {isConnectionLost: false});
 		},
 	},
 	{
-		name: 'endpoints that had said that they would leave, and are gone', isHeld: false, async play(bench) {
+		name: 'abandoned sends at endpoints that drained', isHeld: false, async run(harness) {
 			for (const id of ['e1', 'e2']) {
-				await bench.lose(makeEndpoint(id), {isCut: false});
-				bench.guard.noteGone({...makeEndpoint(id), state: 'leaving'});
+				await harness.loseSend(createEndpoint(id), {isConnectionLost: false});
+				harness.guard.noteGone({...createEndpoint(id), state: 'leaving'});
 			}
 		},
 	},
 	{
-		name: 'endpoints that are only slow', isHeld: false, async play(bench) {
-			await bench.lose(makeEndpoint('e1'), {isCut: false});
-			await bench.lose(makeEndpoint('e2'), {isCut: false});
+		name: 'abandoned sends at slow endpoints', isHeld: false, async run(harness) {
+			await harness.loseSend(createEndpoint('e1'), {isConnectionLost: false});
+			await harness.loseSend(createEndpoint('e2'), {isConnectionLost: false});
 		},
 	},
 	{
-		name: 'bytes of a stream from an endpoint that this host cannot connect to', isHeld: false, async play(bench) {
-			await bench.end('e1');
-			bench.guard.noteLife(makeEndpoint('e1'), -500);
-			await bench.end('e2');
+		name: 'stream data from an endpoint that accepts no connections', isHeld: false, async run(harness) {
+			await harness.crash('e1');
+			harness.guard.recordData(createEndpoint('e1'), -500);
+			await harness.crash('e2');
 		},
 	},
 	{
-		name: 'bytes that had been on their way when it ended', isHeld: true, async play(bench) {
-			bench.down.add('e1');
-			bench.guard.noteLoss({
-				job: bench.makeJob(), step: 'decode', endpoint: makeEndpoint('e1'), inWork: 1, sentAt: 0, answeredAt: undefined, isCut: true, reason: 'reset',
+		name: 'data that was in transit when the endpoint crashed', isHeld: true, async run(harness) {
+			harness.crashed.add('e1');
+			harness.guard.recordLoss({
+				job: harness.createJob(), step: 'decode', endpoint: createEndpoint('e1'), inFlight: 1, sentAt: 0, answeredAt: undefined, isConnectionLost: true, reason: 'reset',
 			});
 			await Promise.resolve();
 			await Promise.resolve();
-			bench.clock.advance(100);
-			bench.guard.noteLife(makeEndpoint('e1'), 0);
-			bench.clock.advance(200);
-			await bench.end('e2');
+			harness.clock.advance(100);
+			harness.guard.recordData(createEndpoint('e1'), 0);
+			harness.clock.advance(200);
+			await harness.crash('e2');
 		},
 	},
 	{
-		name: 'an answer to a send that began long after the end', isHeld: true, async play(bench) {
-			await bench.end('e1');
-			bench.clock.advance(4000);
-			bench.guard.noteLife(makeEndpoint('e1'), bench.clock.now());
-			await bench.end('e2');
+		name: 'a response to a send that started long after the crash', isHeld: true, async run(harness) {
+			await harness.crash('e1');
+			harness.clock.advance(4000);
+			harness.guard.recordData(createEndpoint('e1'), harness.clock.now());
+			await harness.crash('e2');
 		},
 	},
 	{
-		name: 'the next start of an endpoint that answers', isHeld: true, async play(bench) {
-			await bench.end('e1', 1);
-			bench.guard.noteLife(makeEndpoint('e1', 900), bench.clock.now() - 500);
-			await bench.end('e2');
+		name: 'a response from the next start of the endpoint', isHeld: true, async run(harness) {
+			await harness.crash('e1', 1);
+			harness.guard.recordData(createEndpoint('e1', 900), harness.clock.now() - 500);
+			await harness.crash('e2');
 		},
 	},
 	{
-		name: 'a run that goes well', isHeld: false, async play(bench) {
-			await bench.end('e1');
-			await bench.end('e2');
-			bench.guard.noteGood(bench.makeJob());
+		name: 'a request that succeeds', isHeld: false, async run(harness) {
+			await harness.crash('e1');
+			await harness.crash('e2');
+			harness.guard.recordSuccess(harness.createJob());
 		},
 	},
 ];
 
-/** What a host knows, told to one that knows nothing. */
-async function hearOf(isFresh: boolean): Promise<Bench> {
-	const [teller, hearer] = [new Bench(), new Bench()];
-	await teller.end('e1');
-	await teller.end('e2');
-	hearer.clock.advance(teller.clock.now());
-	hearer.guard.hear(isFresh ? teller.guard.listHeld() : teller.told);
-	return hearer;
+/** Sends one host's reports to another that has none. */
+async function shareReports(isNewHost: boolean): Promise<GuardHarness> {
+	const [reporter, receiver] = [new GuardHarness(), new GuardHarness()];
+	await reporter.crash('e1');
+	await reporter.crash('e2');
+	receiver.clock.advance(reporter.clock.now());
+	receiver.guard.hear(isNewHost ? reporter.guard.listHeld() : reporter.broadcastReports);
+	return receiver;
 }
 
-describe('requests that end endpoints, at one host', () => {
-	for (const {name, play, isHeld} of cases) {
-		it(`${name}: ${isHeld ? 'held back' : 'let in'}`, async () => {
-			const bench = new Bench();
-			await play(bench);
-			expect(bench.isHeld).toEqual(isHeld);
-			expect(bench.guard.holdMs(bench.makeJob().content) !== undefined).toEqual(isHeld);
-			expect(bench.guard.mayRun(bench.makeJob('harmless'))).toEqual(true);
-			expect(bench.codes.includes('contentHeldSince') || !isHeld).toEqual(true);
+describe('crash guard of one host', () => {
+	for (const {name, run, isHeld} of cases) {
+		it(`${name}: ${isHeld ? 'held back' : 'sent'}`, async () => {
+			const harness = new GuardHarness();
+			await run(harness);
+			expect(harness.isHeld).toEqual(isHeld);
+			expect(harness.guard.holdMs(harness.createJob().content) !== undefined).toEqual(isHeld);
+			expect(harness.guard.maySend(harness.createJob('harmless'))).toEqual(true);
+			expect(harness.codes.includes('contentHeldSince') || !isHeld).toEqual(true);
 		});
 	}
 
-	it('what was refused once is not sent later', async () => {
-		const bench = new Bench();
-		await bench.end('e1');
-		await bench.end('e2');
-		const job = bench.makeJob();
-		expect(bench.guard.mayRun(job)).toEqual(false);
-		bench.guard.noteGood(bench.makeJob());
-		expect([bench.guard.mayRun(job), bench.isHeld, bench.codes.at(-1)]).toEqual([false, false, 'contentCleared']);
+	it('a job that was refused is not sent later', async () => {
+		const harness = new GuardHarness();
+		await harness.crash('e1');
+		await harness.crash('e2');
+		const job = harness.createJob();
+		expect(harness.guard.maySend(job)).toEqual(false);
+		harness.guard.recordSuccess(harness.createJob());
+		expect([harness.guard.maySend(job), harness.isHeld, harness.codes.at(-1)]).toEqual([false, false, 'contentCleared']);
 	});
 
-	for (const isFresh of [false, true]) {
-		it(`${isFresh ? 'a host that heard none of the news learns from a heartbeat' : 'the others hear the news at once'}, and refute it for all`, async () => {
-			const hearer = await hearOf(isFresh);
-			expect(hearer.isHeld).toEqual(true);
-			hearer.clock.advance(300);
-			hearer.guard.noteLife(makeEndpoint('e2'), 0);
-			hearer.clock.advance(100);
-			expect([hearer.isHeld, hearer.told.length, hearer.told[0]?.refuted]).toEqual([false, 1, ['e2']]);
+	for (const isNewHost of [false, true]) {
+		it(`${isNewHost ? 'a host that missed the reports gets them by heartbeat' : 'other hosts get the reports at once'}, and can refute them for all`, async () => {
+			const receiver = await shareReports(isNewHost);
+			expect(receiver.isHeld).toEqual(true);
+			receiver.clock.advance(300);
+			receiver.guard.recordData(createEndpoint('e2'), 0);
+			receiver.clock.advance(100);
+			expect([receiver.isHeld, receiver.broadcastReports.length, receiver.broadcastReports[0]?.refuted]).toEqual([false, 1, ['e2']]);
 		});
 	}
 
-	it('when its time is over, one host lets one run in', async () => {
-		const bench = new Bench();
-		await bench.end('e1');
-		await bench.end('e2');
-		bench.clock.advance(60_000);
-		bench.isTrialHost = false;
-		expect(bench.isHeld).toEqual(true);
-		bench.isTrialHost = true;
-		const trial = bench.makeJob();
-		expect([bench.guard.holdMs(trial.content), bench.guard.mayRun(trial), bench.isHeld, bench.guard.mayRun(trial)]).toEqual([undefined, true, true, true]);
-		await bench.end('e3');
-		expect([bench.guard.mayRun(trial), bench.isHeld]).toEqual([false, true]);
+	it('after the hold expires, one host admits one trial request', async () => {
+		const harness = new GuardHarness();
+		await harness.crash('e1');
+		await harness.crash('e2');
+		harness.clock.advance(60_000);
+		harness.isTrialHost = false;
+		expect(harness.isHeld).toEqual(true);
+		harness.isTrialHost = true;
+		const trial = harness.createJob();
+		expect([harness.guard.holdMs(trial.content), harness.guard.maySend(trial), harness.isHeld, harness.guard.maySend(trial)]).toEqual([undefined, true, true, true]);
+		await harness.crash('e3');
+		expect([harness.guard.maySend(trial), harness.isHeld]).toEqual([false, true]);
 	});
 });
--- a/packages/relay/src/upstream/crash-guard.ts
+++ b/packages/relay/src/upstream/crash-guard.ts
@@ -1,8 +1,9 @@
 /**
- * Holds requests back whose content has ended endpoints, at this host and at
- * all others. Safety of the bound on such ends: every send asks here right
- * before its first byte leaves. Efficiency: what is told of innocent requests
- * is refuted by the first sign of life of their endpoint, or of their own.
+ * Holds back requests whose content has crashed endpoints, as seen by this
+ * host or reported by others. Safety: the bound on the endpoints that one
+ * content crashes rests on `maySend`, which every send calls right before its
+ * first byte. A false suspicion is refuted when the endpoint sends data, or
+ * when a request with the content succeeds.
  */
 import {CrashSuspects, type ContentId} from '@gatehead/policy/relay/crash-suspects';
 import {type Timer} from '@gatehead/policy/utils/clock';
@@ -11,200 +12,199 @@
 import {type RelayContext} from '../core/context.js';
 import {isOff} from '../core/experiment.js';
 import {type Job} from '../work/job.js';
-import {CrashNews} from './crash-news.js';
-import {SilentSends} from './silent-sends.js';
-import {Trials, trialMs} from './trials.js';
-
-/** Time for which an answer must have been coming for its request to say nothing about its endpoint's end, in milliseconds: who ends an endpoint does so as it begins to run. Of streams of 3.5 s, one in seven is younger. */
-const provenMs = 300;
-/** Bytes that are read this soon behind a loss may have come before it, in milliseconds: longer than a busy host leaves them unread. */
-const onTheWayMs = 250;
-/** A send that began later than this behind a loss may be answered by the endpoint's next start under the same id, in milliseconds: starts take seconds. */
+import {CrashReportBatcher} from './crash-report-batcher.js';
+import {AbandonedSends} from './abandoned-sends.js';
+import {Trials, trialTimeoutMs} from './trials.js';
+
+/** A request whose response had been arriving for this long before its loss is not suspected, in milliseconds: harmful content crashes an endpoint as it starts to run. */
+const crashWindowMs = 300;
+/** Data read within this time after a crash may have been received before it, in milliseconds: longer than a busy host leaves data unread. */
+const bufferedDataMs = 250;
+/** A send that starts later than this after a crash may be answered by the restarted endpoint under the same id, in milliseconds: restarts take seconds. */
 const restartMs = 1000;
-/** How long ends are looked at for signs of life, in milliseconds: longer than any stream at hand. */
-const watchMs = 15_000;
-/** Interval at which what is old is forgotten, in milliseconds. */
-const sweepMs = 60_000;
+/** Time for which later data can refute a crash, in milliseconds: longer than any stream. */
+const refutableMs = 15_000;
+/** Interval at which expired state is removed, in milliseconds. */
+const cleanupIntervalMs = 60_000;
 
-/** A send that was lost. */
-export type LostRun = {
+/** A send without a complete response. */
+export type LostSend = {
 	readonly job: Job;
 	readonly step: string;
 	readonly endpoint: Endpoint;
-	/** Sends of this host in work at the endpoint, this one among them. */
-	readonly inWork: number;
+	/** Sends of this host in flight at the endpoint, including this one. */
+	readonly inFlight: number;
 	readonly sentAt: number;
-	/** When the first part of the answer came; undefined: none came. */
+	/** When the first data of the response arrived; undefined: none did. */
 	readonly answeredAt: number | undefined;
-	/** Its connection was cut; otherwise nothing came until it was given up. */
-	readonly isCut: boolean;
+	/** Whether the connection was lost; otherwise the relay gave the send up. */
+	readonly isConnectionLost: boolean;
 	readonly reason: string;
 };
 
-/** What the guard works with. */
-export type CrashGuardParts = {
+export type CrashGuardOptions = {
 	readonly context: Pick<RelayContext, 'clock' | 'log' | 'metrics' | 'settings'>;
-	/** Whether an endpoint that has just cut a connection has ended. */
+	/** Whether an endpoint that just closed a connection has crashed. */
 	readonly hasEnded: (endpoint: Endpoint) => Promise<boolean>;
-	/** Tells all other hosts. */
+	/** Sends reports to all other hosts. */
 	readonly tell: (reports: readonly CrashReport[]) => void;
-	/** Whether this host is the one that lets a content in on trial. */
+	/** Whether this host runs the trials of a content. */
 	readonly isTrialHost: (content: string) => boolean;
 };
 
-/** Names an endpoint's end. A platform that does not tell its starts apart may give the next one the same id; its entry is made anew. */
-function nameEnd({id, listedSince}: Endpoint): string {
+/** Identifies one start of an endpoint. Where a platform reuses the id for the next start, the new directory entry's time tells them apart. */
+function startIdOf({id, listedSince}: Endpoint): string {
 	return listedSince === undefined ? id : `${id}#${listedSince}`;
 }
 
-/** One host's guard. */
+/** Crash guard of one host. */
 export class CrashGuard {
-	readonly #parts: CrashGuardParts;
+	readonly #options: CrashGuardOptions;
 	readonly #suspects = new CrashSuspects();
-	/** Starts of endpoints that seem to have ended, and when: a sign of life refutes that. */
-	readonly #ended = new Map<string, number>();
-	readonly #silent = new SilentSends();
-	/** Looks at endpoints under way, by the content whose send was cut there. */
-	readonly #checks = new Map<string, Promise<void>>();
-	readonly #news: CrashNews;
+	/** When starts of endpoints seem to have crashed, by start id, while later data can refute it. */
+	readonly #crashedStarts = new Map<string, number>();
+	readonly #abandonedSends = new AbandonedSends();
+	/** Crash checks in progress, by the digest of the content whose send was lost. */
+	readonly #pendingChecks = new Map<string, Promise<void>>();
+	readonly #batcher: CrashReportBatcher;
 	readonly #trials: Trials;
-	/** Contents held back, as last written down. */
-	readonly #held = new Set<string>();
-	#sweepTimer: Timer | undefined;
-
-	constructor(parts: CrashGuardParts) {
-		const {context: {clock}, tell, isTrialHost} = parts;
-		this.#parts = parts;
-		this.#news = new CrashNews({clock, tell, report: digests => this.#report(digests)});
+	/** Contents last logged as held back. */
+	readonly #loggedHolds = new Set<string>();
+	#cleanupTimer: Timer | undefined;
+
+	constructor(options: CrashGuardOptions) {
+		const {context: {clock}, tell, isTrialHost} = options;
+		this.#options = options;
+		this.#batcher = new CrashReportBatcher({clock, broadcast: tell, createReports: digests => this.#createReports(digests)});
 		this.#trials = new Trials(clock, isTrialHost);
 	}
 
-	/** Starts to forget what is old. */
+	/** Starts the periodic removal of expired state. */
 	start(): void {
-		const {clock} = this.#parts.context;
-		this.#sweepTimer = clock.after(sweepMs, () => {
+		const {clock} = this.#options.context;
+		this.#cleanupTimer = clock.after(cleanupIntervalMs, () => {
 			this.#suspects.sweep(clock.now());
-			this.#forgetEnded(clock.now());
+			this.#expireCrashedStarts(clock.now());
 			this.#trials.sweep();
-			this.#noteHeld();
+			this.#logHoldChanges();
 			this.start();
 		});
 	}
 
-	/** Tells nothing more. */
+	/** Stops the periodic removal and sends no more reports. */
 	close(): void {
-		this.#news.close();
-		this.#sweepTimer?.stop();
+		this.#batcher.close();
+		this.#cleanupTimer?.stop();
 	}
 
-	/** How long a request is held back, in milliseconds; undefined: it is not. */
+	/** How long a request is still held back, in milliseconds; undefined: it is not held back. */
 	holdMs(content: ContentId): number | undefined {
-		if (this.#suspects.isClear(content.bytes) || isOff(this.#parts.context, 'crashGuard')) {
+		if (this.#suspects.isClear(content.bytes) || isOff(this.#options.context, 'crashGuard')) {
 			return undefined;
 		}
 
-		const verdict = this.#suspects.judge(content, this.#parts.context.clock.now());
+		const verdict = this.#suspects.judge(content, this.#options.context.clock.now());
 		if (verdict.kind !== 'trial') {
 			return verdict.kind === 'held' ? verdict.leftMs : undefined;
 		}
 
-		return this.#trials.mayBegin(content.digest) ? undefined : trialMs;
+		return this.#trials.mayBegin(content.digest) ? undefined : trialTimeoutMs;
 	}
 
-	/** Whether a request may be sent now; what was refused once stays so. */
-	mayRun(job: Job): boolean {
+	/** Whether a request may be sent now; a job that was refused once stays refused. */
+	maySend(job: Job): boolean {
 		const {content} = job;
 		if (job.isContentHeld) {
 			return false;
 		}
 
-		if (this.#suspects.isClear(content.bytes) || isOff(this.#parts.context, 'crashGuard')) {
+		if (this.#suspects.isClear(content.bytes) || isOff(this.#options.context, 'crashGuard')) {
 			return true;
 		}
 
-		const {kind} = this.#suspects.judge(content, this.#parts.context.clock.now());
+		const {kind} = this.#suspects.judge(content, this.#options.context.clock.now());
 		job.isProbe ||= kind === 'trial' && this.#trials.begin(content.digest);
 		job.isContentHeld = kind === 'held' || (kind === 'trial' && !job.isProbe);
 		return !job.isContentHeld;
 	}
 
-	/** Whether a request that was just cut off may be sent elsewhere. One whose content is suspected waits until it is known whether this endpoint ended too, which saves the next one. */
+	/** Whether a request whose connection was just lost may be sent to another endpoint. For a suspected content this waits for the pending crash check, so that a crash found by it prevents the retry. */
 	async mayRunAgain(job: Job): Promise<boolean> {
 		const {content} = job;
-		if (this.#suspects.isSuspect(content, this.#parts.context.clock.now())) {
-			await this.#checks.get(content.digest);
+		if (this.#suspects.isSuspect(content, this.#options.context.clock.now())) {
+			await this.#pendingChecks.get(content.digest);
 		}
 
-		return this.mayRun(job);
+		return this.maySend(job);
 	}
 
-	/** Notes a loss; the endpoint may have ended. */
-	noteLoss({job, step, endpoint, inWork, sentAt, answeredAt, isCut, reason}: LostRun): void {
-		const {clock, log, metrics} = this.#parts.context;
+	/** Records a lost send, and a crash of its endpoint if there was one. */
+	recordLoss({job, step, endpoint, inFlight, sentAt, answeredAt, isConnectionLost, reason}: LostSend): void {
+		const {clock, log, metrics} = this.#options.context;
 		const now = clock.now();
 		const content: ContentId = {digest: job.content.digest, bytes: job.content.bytes};
-		if (isCut) {
+		if (isConnectionLost) {
 			metrics.add('runsLost', {step, answer: answeredAt === undefined ? 'none' : 'begun'});
 			log('runLost', {
-				request: job.id, content: content.digest, bytes: content.bytes, route: job.route.name, step, endpoint: endpoint.id, inWork, reason, sentMs: Math.round(now - sentAt), answeredMs: answeredAt === undefined ? undefined : Math.round(now - answeredAt),
+				request: job.id, content: content.digest, bytes: content.bytes, route: job.route.name, step, endpoint: endpoint.id, inWork: inFlight, reason, sentMs: Math.round(now - sentAt), answeredMs: answeredAt === undefined ? undefined : Math.round(now - answeredAt),
 			});
 		}
 
-		if (answeredAt !== undefined && now - answeredAt >= provenMs) {
+		if (answeredAt !== undefined && now - answeredAt >= crashWindowMs) {
 			return;
 		}
 
-		const end = nameEnd(endpoint);
-		if (this.#silent.isGone(end) || this.#ended.has(end)) {
-			this.#noteEnd(content, end, now);
+		const startId = startIdOf(endpoint);
+		if (this.#abandonedSends.isGone(startId) || this.#crashedStarts.has(startId)) {
+			this.#recordCrash(content, startId, now);
 			return;
 		}
 
-		if (isCut) {
-			this.#checks.set(content.digest, this.#confirm(content, endpoint, now));
+		if (isConnectionLost) {
+			this.#pendingChecks.set(content.digest, this.#checkCrash(content, endpoint, now));
 			return;
 		}
 
-		this.#silent.note({content, end, at: now});
+		this.#abandonedSends.add({content, startId, at: now});
 	}
 
-	/** The directory says that an endpoint is gone, or has started again. */
+	/** Handles the directory's notice that an endpoint is gone or has restarted. */
 	noteGone(endpoint: Endpoint): void {
 		if (endpoint.state !== 'ready') {
-			// It had said that it would leave, and served to the end
+			// It drained as announced, so abandoned sends are no evidence of a crash
 			return;
 		}
 
-		for (const {content, end, at} of this.#silent.noteGone(nameEnd(endpoint), this.#parts.context.clock.now())) {
-			this.#noteEnd(content, end, at);
+		for (const {content, startId, at} of this.#abandonedSends.markGone(startIdOf(endpoint), this.#options.context.clock.now())) {
+			this.#recordCrash(content, startId, at);
 		}
 	}
 
-	/** An endpoint sends bytes of an answer to what was sent at `sentAt`: then it has not ended before. */
-	noteLife(endpoint: Endpoint, sentAt: number): void {
-		if (this.#ended.size === 0) {
+	/** Records response data of a send that started at `sentAt`; refutes an earlier crash of the endpoint. */
+	recordData(endpoint: Endpoint, sentAt: number): void {
+		if (this.#crashedStarts.size === 0) {
 			return;
 		}
 
-		const end = nameEnd(endpoint);
-		const endedAt = this.#ended.get(end);
-		if (endedAt === undefined || this.#parts.context.clock.now() - endedAt < onTheWayMs || sentAt - endedAt > restartMs) {
+		const startId = startIdOf(endpoint);
+		const crashedAt = this.#crashedStarts.get(startId);
+		if (crashedAt === undefined || this.#options.context.clock.now() - crashedAt < bufferedDataMs || sentAt - crashedAt > restartMs) {
 			return;
 		}
 
-		this.#ended.delete(end);
-		for (const digest of this.#suspects.refuteCrash(end)) {
-			this.#news.add(digest);
+		this.#crashedStarts.delete(startId);
+		for (const digest of this.#suspects.refuteCrash(startId)) {
+			this.#batcher.add(digest);
 		}
 
-		this.#noteHeld();
+		this.#logHoldChanges();
 	}
 
-	/** A request has run to a good end: its content ends nothing. */
-	noteGood({content, isProbe}: Job): void {
+	/** Records a successful request, which clears its content. */
+	recordSuccess({content, isProbe}: Job): void {
 		if (this.#suspects.recordSuccess(content)) {
-			this.#news.add(content.digest);
-			this.#noteHeld();
+			this.#batcher.add(content.digest);
+			this.#logHoldChanges();
 		}
 
 		if (isProbe) {
@@ -212,86 +212,86 @@
 		}
 	}
 
-	/** Takes over what another host tells. */
+	/** Merges crash reports from another host. */
 	hear(reports: readonly CrashReport[]): void {
-		const {clock, metrics} = this.#parts.context;
+		const {clock, metrics} = this.#options.context;
 		const now = clock.now();
 		for (const report of reports) {
-			for (const end of this.#suspects.merge(report, now)) {
+			for (const startId of this.#suspects.merge(report, now)) {
 				metrics.add('crashEnds', {source: 'peer'});
-				this.#noteEnded(end, now - (report.ends.find(each => each.end === end)?.ageMs ?? 0));
+				this.#recordCrashedStart(startId, now - (report.ends.find(each => each.end === startId)?.ageMs ?? 0));
 			}
 		}
 
 		if (reports.length > 0) {
-			this.#noteHeld();
+			this.#logHoldChanges();
 		}
 	}
 
-	/** What every heartbeat says, so that a host that missed it, or is new, hears of it. */
+	/** Reports of all held contents, for heartbeats: hosts that missed the first report, or are new, learn of them. */
 	listHeld(): CrashReport[] {
-		return this.#suspects.size === 0 ? [] : this.#report(this.#suspects.listHeld(this.#parts.context.clock.now()));
+		return this.#suspects.size === 0 ? [] : this.#createReports(this.#suspects.listHeld(this.#options.context.clock.now()));
 	}
 
-	async #confirm(content: ContentId, endpoint: Endpoint, at: number): Promise<void> {
-		const hasEnded = await this.#parts.hasEnded(endpoint);
-		this.#checks.delete(content.digest);
-		if (hasEnded) {
-			this.#noteEnd(content, nameEnd(endpoint), at);
+	async #checkCrash(content: ContentId, endpoint: Endpoint, at: number): Promise<void> {
+		const hasCrashed = await this.#options.hasEnded(endpoint);
+		this.#pendingChecks.delete(content.digest);
+		if (hasCrashed) {
+			this.#recordCrash(content, startIdOf(endpoint), at);
 		}
 	}
 
-	#noteEnd(content: ContentId, end: string, at: number): void {
-		this.#noteEnded(end, at);
-		if (this.#suspects.recordCrash(content, end, at)) {
-			this.#parts.context.metrics.add('crashEnds', {source: 'own'});
-			this.#news.add(content.digest);
-			this.#noteHeld();
+	#recordCrash(content: ContentId, startId: string, at: number): void {
+		this.#recordCrashedStart(startId, at);
+		if (this.#suspects.recordCrash(content, startId, at)) {
+			this.#options.context.metrics.add('crashEnds', {source: 'own'});
+			this.#batcher.add(content.digest);
+			this.#logHoldChanges();
 		}
 	}
 
-	#noteEnded(end: string, at: number): void {
-		if (!this.#ended.has(end)) {
-			this.#ended.set(end, at);
+	#recordCrashedStart(startId: string, at: number): void {
+		if (!this.#crashedStarts.has(startId)) {
+			this.#crashedStarts.set(startId, at);
 		}
 
-		this.#forgetEnded(this.#parts.context.clock.now());
+		this.#expireCrashedStarts(this.#options.context.clock.now());
 	}
 
-	/** In the order of their noting, so the old ones stand in front. */
-	#forgetEnded(now: number): void {
-		for (const [end, at] of this.#ended) {
-			if (now - at < watchMs) {
+	/** Removes expired entries from the front. Entries are in the order in which they were added. */
+	#expireCrashedStarts(now: number): void {
+		for (const [startId, at] of this.#crashedStarts) {
+			if (now - at < refutableMs) {
 				return;
 			}
 
-			this.#ended.delete(end);
+			this.#crashedStarts.delete(startId);
 		}
 	}
 
-	#report(digests: readonly string[]): CrashReport[] {
-		const now = this.#parts.context.clock.now();
+	#createReports(digests: readonly string[]): CrashReport[] {
+		const now = this.#options.context.clock.now();
 		return digests.map(digest => this.#suspects.report(digest, now)).filter(report => report !== undefined);
 	}
 
-	/** Writes down which contents are held back from now on, and which no longer. */
-	#noteHeld(): void {
-		const {clock, log, metrics} = this.#parts.context;
+	/** Logs which contents are newly held back, and which no longer. */
+	#logHoldChanges(): void {
+		const {clock, log, metrics} = this.#options.context;
 		const held = this.#suspects.listHeld(clock.now());
-		for (const report of this.#report(held.filter(digest => !this.#held.has(digest)))) {
-			this.#held.add(report.content);
+		for (const report of this.#createReports(held.filter(digest => !this.#loggedHolds.has(digest)))) {
+			this.#loggedHolds.add(report.content);
 			const {refuted, ends} = report;
-			const standing = ends.filter(({end}) => !refuted.includes(end));
-			log('contentHeldSince', {content: report.content, bytes: report.bytes, ends: standing.map(({end, ageMs}) => `${end} ${Math.round(ageMs)} ms ago`).join(', ')});
+			const unrefuted = ends.filter(({end}) => !refuted.includes(end));
+			log('contentHeldSince', {content: report.content, bytes: report.bytes, ends: unrefuted.map(({end, ageMs}) => `${end} ${Math.round(ageMs)} ms ago`).join(', ')});
 		}
 
-		for (const digest of this.#held) {
+		for (const digest of this.#loggedHolds) {
 			if (!held.includes(digest)) {
-				this.#held.delete(digest);
+				this.#loggedHolds.delete(digest);
 				log('contentCleared', {content: digest});
 			}
 		}
 
-		metrics.set('heldContents', this.#held.size);
+		metrics.set('heldContents', this.#loggedHolds.size);
 	}
 }
--- a/packages/relay/src/upstream/sender.ts
+++ b/packages/relay/src/upstream/sender.ts
@@ -15,7 +15,7 @@
 import {setIdleTimeout, preventReuse} from './connection-pool.js';
 import {type Endpoints} from './endpoints.js';
 import {exchange, ExchangeError, type ExchangeFault} from './exchange.js';
-import {type CrashGuard, type LostRun} from './crash-guard.js';
+import {type CrashGuard, type LostSend} from './crash-guard.js';
 import {type RateLimiter} from './rate-limiter.js';
 
 const minServerErrorStatus = 500;
@@ -85,7 +85,7 @@
 	async send(send: Send): Promise<Sent> {
 		const {job, step, endpoint, signal, headMs, tokens} = send;
 		const {clock, settings, metrics} = this.#context;
-		if (!this.#crashGuard.mayRun(job)) {
+		if (!this.#crashGuard.maySend(job)) {
 			return {kind: 'notRun', reason: 'held', status: 0};
 		}
 
@@ -138,7 +138,7 @@
 		const {book, signals} = this.#endpoints;
 		const isOpen = book.isReady(endpoint.id) && !signals.isBackingOff(endpoint.id, this.#context.clock.now());
 		// The content may have become held since the first check
-		if (!isOpen || !this.#crashGuard.mayRun(job)) {
+		if (!isOpen || !this.#crashGuard.maySend(job)) {
 			return false;
 		}
 
@@ -183,7 +183,7 @@
 			});
 			end('refused');
 			if (!facts.isAddressReassigned) {
-				this.#crashGuard.noteLife(endpoint, sentAt);
+				this.#crashGuard.recordData(endpoint, sentAt);
 			}
 
 			return this.#handleRefusal(send, facts, status);
@@ -202,7 +202,7 @@
 			return this.#logFailure(send, {kind: 'unknown', reason: isForeign ? 'foreignAnswer' : 'unmarked'}, {status});
 		}
 
-		this.#crashGuard.noteLife(endpoint, sentAt);
+		this.#crashGuard.recordData(endpoint, sentAt);
 		let answeredAt: number | undefined;
 		return {
 			kind: 'answer',
@@ -210,15 +210,15 @@
 			facts,
 			touch: () => {
 				answeredAt ??= this.#context.clock.now();
-				this.#crashGuard.noteLife(endpoint, sentAt);
+				this.#crashGuard.recordData(endpoint, sentAt);
 			},
 			end: (outcome, reason = '') => {
 				if (outcome === 'broken' || outcome === 'cancelled') {
 					this.#recordLoss(send, {
-						sentAt, answeredAt, isCut: outcome === 'broken' && reason !== silentReason, reason: reason || outcome,
+						sentAt, answeredAt, isConnectionLost: outcome === 'broken' && reason !== silentReason, reason: reason || outcome,
 					});
 				} else if (outcome === 'good' && step !== 'prefill' && status < minRedirectStatus) {
-					this.#crashGuard.noteGood(job);
+					this.#crashGuard.recordSuccess(job);
 				}
 
 				end(outcome === 'good' && status >= minServerErrorStatus ? 'error' : outcome);
@@ -243,9 +243,9 @@
 		}
 	}
 
-	#recordLoss({job, step, endpoint}: Send, loss: Pick<LostRun, 'sentAt' | 'answeredAt' | 'isCut' | 'reason'>): void {
-		this.#crashGuard.noteLoss({
-			job, step, endpoint, inWork: this.#endpoints.countOpen(endpoint.id), ...loss,
+	#recordLoss({job, step, endpoint}: Send, loss: Pick<LostSend, 'sentAt' | 'answeredAt' | 'isConnectionLost' | 'reason'>): void {
+		this.#crashGuard.recordLoss({
+			job, step, endpoint, inFlight: this.#endpoints.countOpen(endpoint.id), ...loss,
 		});
 	}
 
@@ -263,7 +263,7 @@
 
 		if (fault.mayHaveBeenSent && send.signal.reason !== answeredElsewhere) {
 			this.#recordLoss(send, {
-				sentAt, answeredAt: undefined, isCut: fault.fault === 'reset', reason: fault.fault,
+				sentAt, answeredAt: undefined, isConnectionLost: fault.fault === 'reset', reason: fault.fault,
 			});
 		}
 
--- a/packages/relay/src/upstream/trials.ts
+++ b/packages/relay/src/upstream/trials.ts
@@ -1,48 +1,48 @@
-/** Lets one run of a content in whose hold is over, to show whether it still ends endpoints: at one host, one at a time. Safety of the bound on ends rests here for what comes after a hold. */
+/** Admits one trial request for a content whose hold has expired, to test whether it still crashes endpoints. Safety: only one host runs trials of a content, one at a time, which bounds the crashes after a hold. */
 import {type Clock} from '@gatehead/policy/utils/clock';
 
-/** Time for which no second trial of a content begins, in milliseconds: an end is told of in far less. */
-export const trialMs = 5000;
+/** Time after which another trial of a content may start, in milliseconds: a crash is reported much sooner. */
+export const trialTimeoutMs = 5000;
 
-/** One host's trials. */
+/** Trials of one host. */
 export class Trials {
 	readonly #clock: Clock;
 	readonly #isTrialHost: (content: string) => boolean;
-	/** Until when a content is on trial here. */
-	readonly #until = new Map<string, number>();
+	/** When each trial in progress times out, by content digest. */
+	readonly #deadlines = new Map<string, number>();
 
-	/** `isTrialHost` says whether this host is the one that tries a content. */
+	/** `isTrialHost` tells whether this host runs the trials of a content. */
 	constructor(clock: Clock, isTrialHost: (content: string) => boolean) {
 		this.#clock = clock;
 		this.#isTrialHost = isTrialHost;
 	}
 
-	/** Whether a run may be let in now. */
+	/** Whether a trial may start now. */
 	mayBegin(content: string): boolean {
-		const until = this.#until.get(content) ?? Number.NEGATIVE_INFINITY;
-		return until <= this.#clock.now() && this.#isTrialHost(content);
+		const deadline = this.#deadlines.get(content) ?? Number.NEGATIVE_INFINITY;
+		return deadline <= this.#clock.now() && this.#isTrialHost(content);
 	}
 
-	/** Begins one; returns whether it may. */
+	/** Starts a trial; returns false if none may start now. */
 	begin(content: string): boolean {
 		if (!this.mayBegin(content)) {
 			return false;
 		}
 
-		this.#until.set(content, this.#clock.now() + trialMs);
+		this.#deadlines.set(content, this.#clock.now() + trialTimeoutMs);
 		return true;
 	}
 
-	/** A trial went well. */
+	/** Ends a trial whose request succeeded. */
 	end(content: string): void {
-		this.#until.delete(content);
+		this.#deadlines.delete(content);
 	}
 
-	/** Forgets those that are over. */
+	/** Removes trials that have timed out. */
 	sweep(): void {
-		for (const [content, until] of this.#until) {
-			if (until <= this.#clock.now()) {
-				this.#until.delete(content);
+		for (const [content, deadline] of this.#deadlines) {
+			if (deadline <= this.#clock.now()) {
+				this.#deadlines.delete(content);
 			}
 		}
 	}
