--- a/packages/relay/src/peer/config-propagation.test.ts
+++ b/packages/relay/src/peer/config-propagation.test.ts
@@ -339,11 +339,11 @@
 			settings, clock, random: seedRandom((1000 * seed) + index), log: ignore, metrics, dialect, directory: this.directory.clientFor(name), wall: () => clock.now(),
 		});
 		const endpoints = new Endpoints(context, {
-			onPause: ignore, onLimit: ignore, onDrain: ignore, onRoom: ignore, onGone: ignore, subset: () => wholeFleet,
+			onPause: ignore, onLimit: ignore, onDrain: ignore, onCapacityFreed: ignore, onGone: ignore, subset: () => wholeFleet,
 		});
 		const routing = new RoutingState(context, ignore);
 		const guard = new CrashGuard({
-			context, hasEnded: async () => false, tell: ignore, isTrialHost: () => false,
+			context, hasCrashed: async () => false, broadcast: ignore, isTrialHost: () => false,
 		});
 		const fleet: Fleet = new Fleet({
 			context, guard, endpoints, routing, watch: () => watch, measureLoad: () => 0, makeLinks: listener => new SimulatedLinks(name, listener, network),
--- a/packages/relay/src/peer/directory-sync.ts
+++ b/packages/relay/src/peer/directory-sync.ts
@@ -56,10 +56,10 @@
 	receiveHeartbeat(host: string, {routingVersion, directoryRevision, directoryEpoch, departures, pauses}: RelayMessageOf<'heartbeat'>): void {
 		const {routing, endpoints, watch} = this.#parts;
 		for (const pause of pauses) {
-			endpoints.hearPause(pause, host);
+			endpoints.mergePause(pause, host);
 		}
 
-		endpoints.hearDepartures(departures, host);
+		endpoints.mergeDepartures(departures, host);
 		const own = watch();
 		const offered: Position = {epoch: directoryEpoch, revision: directoryRevision};
 		this.#recordIncomparable(offered, own);
@@ -128,7 +128,7 @@
 
 		const isOtherEpoch = own.position !== undefined && own.position.epoch !== epoch;
 		own.followEpoch(position, host);
-		endpoints.hearDepartures(departures, host);
+		endpoints.mergeDepartures(departures, host);
 		const changes = endpoints.book.replace({
 			listed, ids: new Set(ids), position, isWitnessed, kept,
 		}, clock.now());
--- a/packages/relay/src/peer/fleet.ts
+++ b/packages/relay/src/peer/fleet.ts
@@ -70,7 +70,7 @@
 		heartbeat: (from, message) => {
 			this.#parts.context.hybrid.receive(message.clock);
 			this.membership.heartbeat(from, message);
-			this.#parts.guard.hear(message.heldContents);
+			this.#parts.guard.mergeReports(message.heldContents);
 			this.#parts.endpoints.receiveDrains(message.draining, from.host);
 			this.#directorySync.receiveHeartbeat(from.host, message);
 		},
@@ -81,10 +81,10 @@
 			this.#directorySync.applyUpdate(from.host, message);
 		},
 		crashes: (_from, {reports}) => {
-			this.#parts.guard.hear(reports);
+			this.#parts.guard.mergeReports(reports);
 		},
 		paused: (from, {pause}) => {
-			this.#parts.endpoints.hearPause(pause, from.host);
+			this.#parts.endpoints.mergePause(pause, from.host);
 		},
 		draining: (from, {endpoints}) => {
 			this.#parts.endpoints.receiveDrains(endpoints, from.host);
@@ -184,7 +184,7 @@
 		this.limiter = new RateLimiter({
 			context,
 			send,
-			renew,
+			reconnect: renew,
 			signals: parts.endpoints.signals,
 			receiveLimits(limits, from) {
 				parts.endpoints.receiveLimits(limits, from);
--- a/packages/relay/src/peer/load-gossip.ts
+++ b/packages/relay/src/peer/load-gossip.ts
@@ -111,7 +111,7 @@
 
 	/** Records memory that a peer reserved. */
 	receiveReservation({endpoint, tokens, heldMs}: RelayMessageOf<'placed'>): void {
-		this.#parts.endpoints.noteTaken(endpoint, tokens, heldMs);
+		this.#parts.endpoints.recordMemoryInUse(endpoint, tokens, heldMs);
 	}
 
 	/** Records a peer's number of waiting requests. */
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -14,9 +14,9 @@
 import {SideFront} from './front/side-front.js';
 import {Fleet} from './peer/fleet.js';
 import {CrashGuard} from './upstream/crash-guard.js';
-import {EndCheck} from './upstream/end-check.js';
+import {CrashCheck} from './upstream/crash-check.js';
 import {Endpoints} from './upstream/endpoints.js';
-import {OwnCalls} from './upstream/own-calls.js';
+import {ControlCalls} from './upstream/control-calls.js';
 import {Sender} from './upstream/sender.js';
 import {RetryBudgets} from './work/retry-budgets.js';
 import {runGeneration} from './work/generation.js';
@@ -56,7 +56,7 @@
 				this.fleet.announcePause(pause);
 			},
 			onGone: endpoint => {
-				this.guard.noteGone(endpoint);
+				this.guard.handleGone(endpoint);
 				this.fleet.limiter.forget(endpoint.id);
 			},
 			onLimit: endpoint => {
@@ -65,7 +65,7 @@
 			onDrain: endpoint => {
 				this.fleet.announceDrain(endpoint);
 			},
-			onRoom: service => {
+			onCapacityFreed: service => {
 				this.#work.admission.handleCapacityFreed(service);
 			},
 			subset: () => this.fleet.load.subset,
@@ -73,11 +73,11 @@
 		this.routing = new RoutingState(context, routing => {
 			this.#front.limit(routing.callerLimits);
 		});
-		const endCheck = new EndCheck(context, this.endpoints);
+		const endCheck = new CrashCheck(context, this.endpoints);
 		this.guard = new CrashGuard({
 			context,
-			hasEnded: async endpoint => endCheck.hasEnded(endpoint),
-			tell: reports => {
+			hasCrashed: async endpoint => endCheck.hasCrashed(endpoint),
+			broadcast: reports => {
 				this.fleet.announceCrashes(reports);
 			},
 			isTrialHost: content => this.fleet.isCoordinator(content),
@@ -98,7 +98,7 @@
 				this.fleet.announce();
 			},
 		});
-		const ownCalls = new OwnCalls(context, this.endpoints);
+		const ownCalls = new ControlCalls(context, this.endpoints);
 		const budgets = new RetryBudgets(context, () => this.fleet.countHosts());
 		this.#orders = new StageOrders({
 			context, endpoints: this.endpoints, routing: this.routing, fleet: this.fleet, watch: this.#watch, ownCalls, releaseRateOf: service => this.#work.admission.releaseRateOf(service), lastWaitedAt: service => this.#work.admission.lastWaitedAt(service),
--- a/packages/relay/src/upstream/own-calls.ts
+++ b/packages/relay/src/upstream/control-calls.ts
@@ -32,7 +32,7 @@
 type ControlCallContext = BaseContext & Pick<RelayContext, 'dialect' | 'settings'>;
 
 /** Makes control calls. */
-export class OwnCalls {
+export class ControlCalls {
 	readonly #context: ControlCallContext;
 	readonly #endpoints: Endpoints;
 
--- a/packages/relay/src/upstream/end-check.ts
+++ b/packages/relay/src/upstream/crash-check.ts
@@ -19,7 +19,7 @@
 const crashFindings: ReadonlySet<Finding> = new Set(['refused', 'silent']);
 
 /** Crash checks of one host. */
-export class EndCheck {
+export class CrashCheck {
 	readonly #context: Pick<RelayContext, 'clock' | 'metrics' | 'settings'>;
 	readonly #endpoints: Pick<Endpoints, 'connectionsOf'>;
 	/** Checks in progress, by endpoint id: one crash loses many requests at once. */
@@ -31,7 +31,7 @@
 	}
 
 	/** Whether an endpoint that just closed a connection has crashed. */
-	async hasEnded(endpoint: Endpoint): Promise<boolean> {
+	async hasCrashed(endpoint: Endpoint): Promise<boolean> {
 		const pending = this.#pendingChecks.get(endpoint.id);
 		if (pending !== undefined) {
 			return pending;
--- a/packages/relay/src/upstream/crash-guard.test.ts
+++ b/packages/relay/src/upstream/crash-guard.test.ts
@@ -41,8 +41,8 @@
 			metrics: new Metrics(undefined, {}),
 			settings,
 		},
-		hasEnded: async ({id, instance}) => this.crashed.has(instance ?? id),
-		tell: reports => {
+		hasCrashed: async ({id, instance}) => this.crashed.has(instance ?? id),
+		broadcast: reports => {
 			this.broadcastReports.push(...reports);
 		},
 		isTrialHost: () => this.isTrialHost,
@@ -123,15 +123,15 @@
 		name: 'abandoned sends at endpoints that are gone later', isHeld: true, async run(harness) {
 			await harness.loseSend(createEndpoint('e1'), {isConnectionLost: false});
 			await harness.loseSend(createEndpoint('e2'), {isConnectionLost: false});
-			harness.guard.noteGone(createEndpoint('e1'));
-			harness.guard.noteGone(createEndpoint('e2'));
+			harness.guard.handleGone(createEndpoint('e1'));
+			harness.guard.handleGone(createEndpoint('e2'));
 		},
 	},
 	{
 		name: 'abandoned sends at endpoints that are already gone', isHeld: true, async run(harness) {
-			harness.guard.noteGone(createEndpoint('e1'));
+			harness.guard.handleGone(createEndpoint('e1'));
 			await harness.loseSend(createEndpoint('e1'), {isConnectionLost: false});
-			harness.guard.noteGone(createEndpoint('e2'));
+			harness.guard.handleGone(createEndpoint('e2'));
 			await harness.loseSend(createEndpoint('e2'), {isConnectionLost: false});
 		},
 	},
@@ -139,7 +139,7 @@
 		name: 'abandoned sends at endpoints that drained', isHeld: false, async run(harness) {
 			for (const id of ['e1', 'e2']) {
 				await harness.loseSend(createEndpoint(id), {isConnectionLost: false});
-				harness.guard.noteGone({...createEndpoint(id), state: 'leaving'});
+				harness.guard.handleGone({...createEndpoint(id), state: 'leaving'});
 			}
 		},
 	},
@@ -200,7 +200,7 @@
 	await reporter.crash('e1');
 	await reporter.crash('e2');
 	receiver.clock.advance(reporter.clock.now());
-	receiver.guard.hear(isNewHost ? reporter.guard.listHeld() : reporter.broadcastReports);
+	receiver.guard.mergeReports(isNewHost ? reporter.guard.listHeld() : reporter.broadcastReports);
 	return receiver;
 }
 
--- a/packages/relay/src/upstream/crash-guard.ts
+++ b/packages/relay/src/upstream/crash-guard.ts
@@ -45,9 +45,9 @@
 export type CrashGuardOptions = {
 	readonly context: Pick<RelayContext, 'clock' | 'log' | 'metrics' | 'settings'>;
 	/** Whether an endpoint that just closed a connection has crashed. */
-	readonly hasEnded: (endpoint: Endpoint) => Promise<boolean>;
+	readonly hasCrashed: (endpoint: Endpoint) => Promise<boolean>;
 	/** Sends reports to all other hosts. */
-	readonly tell: (reports: readonly CrashReport[]) => void;
+	readonly broadcast: (reports: readonly CrashReport[]) => void;
 	/** Whether this host runs the trials of a content. */
 	readonly isTrialHost: (content: string) => boolean;
 };
@@ -73,9 +73,9 @@
 	#cleanupTimer: Timer | undefined;
 
 	constructor(options: CrashGuardOptions) {
-		const {context: {clock}, tell, isTrialHost} = options;
+		const {context: {clock}, broadcast, isTrialHost} = options;
 		this.#options = options;
-		this.#batcher = new CrashReportBatcher({clock, broadcast: tell, createReports: digests => this.#createReports(digests)});
+		this.#batcher = new CrashReportBatcher({clock, broadcast, createReports: digests => this.#createReports(digests)});
 		this.#trials = new Trials(clock, isTrialHost);
 	}
 
@@ -129,7 +129,7 @@
 	}
 
 	/** Whether a request whose connection was just lost may be sent to another endpoint. For a suspected content this waits for the pending crash check, so that a crash found by it prevents the retry. */
-	async mayRunAgain(job: Job): Promise<boolean> {
+	async mayRetry(job: Job): Promise<boolean> {
 		const {content} = job;
 		if (this.#suspects.isSuspect(content, this.#options.context.clock.now())) {
 			await this.#pendingChecks.get(content.digest);
@@ -169,7 +169,7 @@
 	}
 
 	/** Handles the directory's notice that an endpoint is gone or has restarted. */
-	noteGone(endpoint: Endpoint): void {
+	handleGone(endpoint: Endpoint): void {
 		if (endpoint.state !== 'ready') {
 			// It drained as announced, so abandoned sends are no evidence of a crash
 			return;
@@ -213,7 +213,7 @@
 	}
 
 	/** Merges crash reports from another host. */
-	hear(reports: readonly CrashReport[]): void {
+	mergeReports(reports: readonly CrashReport[]): void {
 		const {clock, metrics} = this.#options.context;
 		const now = clock.now();
 		for (const report of reports) {
@@ -234,7 +234,7 @@
 	}
 
 	async #checkCrash(content: ContentId, endpoint: Endpoint, at: number): Promise<void> {
-		const hasCrashed = await this.#options.hasEnded(endpoint);
+		const hasCrashed = await this.#options.hasCrashed(endpoint);
 		this.#pendingChecks.delete(content.digest);
 		if (hasCrashed) {
 			this.#recordCrash(content, startIdOf(endpoint), at);
--- a/packages/relay/src/upstream/endpoints.ts
+++ b/packages/relay/src/upstream/endpoints.ts
@@ -34,7 +34,7 @@
 const limitProbeMs = 1000;
 
 /** Source of a pause that follows from a stage order of this host. */
-export const ownOrder = 'order';
+export const ownOrderSource = 'order';
 
 /** Changes after which an endpoint takes no new work for good. */
 const departureChanges: ReadonlySet<EndpointChange['change']> = new Set(['leaving', 'outdated', 'gone']);
@@ -52,7 +52,7 @@
 	/** An endpoint has announced to this host that it is draining. */
 	onDrain(endpoint: string): void;
 	/** A service may have free capacity again. */
-	onRoom(service: string): void;
+	onCapacityFreed(service: string): void;
 	/** This host's subset among the fleet's. */
 	subset(): Subset;
 };
@@ -66,16 +66,16 @@
 	readonly #listener: EndpointListener;
 	readonly #changeHandlers: Readonly<Record<EndpointChange['change'], (endpoint: Endpoint) => void>> = {
 		added: ({service}) => {
-			this.#listener.onRoom(service);
+			this.#listener.onCapacityFreed(service);
 		},
 		changed: ({service}) => {
-			this.#listener.onRoom(service);
+			this.#listener.onCapacityFreed(service);
 		},
 		restaged: ({id, service}) => {
 			// Its failures were in the other stage
 			this.health.forget(id);
 			this.#queues.delete(id);
-			this.#listener.onRoom(service);
+			this.#listener.onCapacityFreed(service);
 		},
 		leaving: ignore,
 		unreadable: ignore,
@@ -142,16 +142,16 @@
 	}
 
 	/** Merges departures that another host knows of. */
-	hearDepartures(departures: readonly Departure[], from: string): void {
+	mergeDepartures(departures: readonly Departure[], from: string): void {
 		this.note(this.book.mergeDepartures(departures, this.#context.clock.now()), from);
 	}
 
 	/** Endpoints of a service that take new work, in the order in which to try them. */
-	order(service: string, {stage, hall, tokens = 0, weights, bearable}: PlacementRequest): Endpoint[] {
+	order(service: string, {stage, hall, tokens = 0, weights, capacityTokens}: PlacementRequest): Endpoint[] {
 		const now = this.#context.clock.now();
 		const {candidates, subsetIds} = this.#listCandidates(service, stage);
 		const effectiveWeights = isOff(this.#context, 'nearHalls') ? {...weights, otherHall: 0} : weights;
-		return orderEndpoints(candidates, endpoint => this.#standingOf(endpoint, {tokens, bearable, subsetIds}, now), hall, effectiveWeights, this.#context.random);
+		return orderEndpoints(candidates, endpoint => this.#standingOf(endpoint, {tokens, capacityTokens, subsetIds}, now), hall, effectiveWeights, this.#context.random);
 	}
 
 	/** Whether this host may send a request to an endpoint now. */
@@ -168,7 +168,7 @@
 	}
 
 	/** Records memory that is in use at a decode replica for `heldMs` milliseconds without a send of this host in flight there. */
-	noteTaken(id: string, tokens: number, heldMs: number): void {
+	recordMemoryInUse(id: string, tokens: number, heldMs: number): void {
 		this.#peerUse.add(id, tokens, heldMs, this.#context.clock.now());
 	}
 
@@ -190,7 +190,7 @@
 	/** Starts tracking a send of `tokens` tokens; the returned function ends it, and does nothing when called again. */
 	begin(endpoint: Endpoint, tokens: number): () => void {
 		return this.#useOf(endpoint).begin(tokens, this.#context.clock.now(), () => {
-			this.#listener.onRoom(endpoint.service);
+			this.#listener.onCapacityFreed(endpoint.service);
 		});
 	}
 
@@ -268,9 +268,9 @@
 	}
 
 	/** Merges a pause from another host. */
-	hearPause(pause: Pause, from: string): void {
+	mergePause(pause: Pause, from: string): void {
 		const {clock, log, metrics} = this.#context;
-		if (from !== ownOrder && isOff(this.#context, 'pauseNews')) {
+		if (from !== ownOrderSource && isOff(this.#context, 'pauseNews')) {
 			return;
 		}
 
@@ -312,10 +312,10 @@
 		return {candidates, subsetIds: this.#subsets.list(candidates, this.#listener.subset())};
 	}
 
-	#standingOf(endpoint: Endpoint, {tokens, bearable, subsetIds}: PlacementContext, now: number): EndpointStatus {
+	#standingOf(endpoint: Endpoint, {tokens, capacityTokens, subsetIds}: PlacementContext, now: number): EndpointStatus {
 		const use = this.#uses.get(endpoint.id);
 		return {
-			load: this.#loadOf(endpoint, use, bearable, now),
+			load: this.#loadOf(endpoint, use, capacityTokens, now),
 			isUsable: this.health.isUsable(endpoint.id, now),
 			failureRate: this.health.badness(endpoint.id, now),
 			hasConnection: use?.connections.hasIdle ?? false,
@@ -327,13 +327,13 @@
 	}
 
 	/** Load of an endpoint: the queue of a prefill replica, the memory that this host and its peers use at a decode replica, otherwise this host's sends per slot. */
-	#loadOf({id, stage, slots}: Endpoint, use: EndpointUse | undefined, bearable: number, now: number): number {
+	#loadOf({id, stage, slots}: Endpoint, use: EndpointUse | undefined, capacityTokens: number, now: number): number {
 		if (stage === 'prefill') {
 			return this.queueOf(id).estimateMs(0, now) / fullLoadQueueMs;
 		}
 
-		if (bearable > 0) {
-			return ((use?.tokens ?? 0) + this.#peerUse.sum(id, now)) / bearable;
+		if (capacityTokens > 0) {
+			return ((use?.tokens ?? 0) + this.#peerUse.sum(id, now)) / capacityTokens;
 		}
 
 		return (use?.inFlight ?? 0) / Math.max(1, slots);
@@ -378,7 +378,7 @@
 
 type PlacementContext = Pick<Candidates, 'subsetIds'> & {
 	readonly tokens: number;
-	readonly bearable: number;
+	readonly capacityTokens: number;
 };
 
 /** Requirements of a send for its endpoint. */
@@ -390,5 +390,5 @@
 	readonly tokens?: number;
 	readonly weights: PlacementWeights;
 	/** Memory capacity of one endpoint, in tokens, relative to which the load is measured; 0: load is measured in requests per slot. */
-	readonly bearable: number;
+	readonly capacityTokens: number;
 };
--- a/packages/relay/src/upstream/exchange.ts
+++ b/packages/relay/src/upstream/exchange.ts
@@ -42,7 +42,7 @@
 const truncatedResponses = new WeakSet<IncomingMessage>();
 
 /** Whether an ended response is incomplete. */
-export function isCut(response: IncomingMessage): boolean {
+export function isTruncated(response: IncomingMessage): boolean {
 	return !response.complete || truncatedResponses.has(response);
 }
 
@@ -70,7 +70,7 @@
 }
 
 /** Waits until a reset that arrived with a response's last bytes is reported. */
-export async function settleEnd(response: IncomingMessage): Promise<void> {
+export async function awaitPendingReset(response: IncomingMessage): Promise<void> {
 	if (isCloseDelimited(response)) {
 		await setImmediate();
 		await setImmediate();
@@ -177,8 +177,8 @@
 	const body = await readBytes(response, maxBytes, () => new ExchangeError('tooLarge', true)).catch((error: unknown) => {
 		throw error instanceof ExchangeError ? error : new ExchangeError('reset', true, error);
 	});
-	await settleEnd(response);
-	if (isCut(response)) {
+	await awaitPendingReset(response);
+	if (isTruncated(response)) {
 		throw new ExchangeError('reset', true, new Error('the response was truncated'));
 	}
 
--- a/packages/relay/src/upstream/rate-limiter.ts
+++ b/packages/relay/src/upstream/rate-limiter.ts
@@ -41,7 +41,7 @@
 	readonly countKnown: () => number;
 	readonly send: (host: string, message: RelayMessage) => void;
 	/** Closes the stream to a peer; the next message opens a new one. */
-	readonly renew: (host: string) => void;
+	readonly reconnect: (host: string) => void;
 };
 
 /** Outcome of a request for a permit. */
@@ -116,7 +116,7 @@
 	}
 
 	/** Returns an unused permit. */
-	giveBack(endpoint: string, permit: Permit): void {
+	returnPermit(endpoint: string, permit: Permit): void {
 		if (permit !== unlimitedPermit) {
 			this.#stateOf(endpoint).permits.putBack(permit);
 		}
@@ -272,7 +272,7 @@
 	}
 
 	async #requestGrant(endpoint: string, wanted: number): Promise<RateGrant> {
-		const {context: {clock, self, metrics}, signals, send, renew} = this.#options;
+		const {context: {clock, self, metrics}, signals, send, reconnect} = this.#options;
 		const granter = this.#findGranter();
 		const limit = signals.describeLimit(endpoint, clock.now());
 		if (granter === undefined || granter === self.host) {
@@ -289,7 +289,7 @@
 		}
 
 		metrics.add('ratePermits', {outcome: 'silent'});
-		renew(granter);
+		reconnect(granter);
 		return {granted: 0, waitMs: noGrantRetryMs};
 	}
 
--- a/packages/relay/src/upstream/sender.ts
+++ b/packages/relay/src/upstream/sender.ts
@@ -26,7 +26,7 @@
 export type SendStep = 'plain' | 'prefill' | 'decode';
 
 /** Outcome of a send. */
-export type Sent
+export type SendResult
 	/** The endpoint's response to this request. The caller calls `touch` when a part of the body arrives, and must call `end` with the outcome. */
 	= | {readonly kind: 'answer'; readonly response: IncomingMessage; readonly facts: ResponseFacts; readonly touch: () => void; readonly end: (outcome: Outcome, reason?: string) => void}
 	/** The request did not run there. */
@@ -58,7 +58,7 @@
 /** Abort reason of a send whose request was answered by another endpoint. */
 export const answeredElsewhere = 'answered';
 /** Reason for ending a stream that stalled on an open connection. */
-export const silentReason = 'silent';
+export const stallReason = 'silent';
 
 export type SenderOptions = {
 	readonly context: RelayContext;
@@ -82,7 +82,7 @@
 	}
 
 	/** Sends a request to an endpoint. */
-	async send(send: Send): Promise<Sent> {
+	async send(send: Send): Promise<SendResult> {
 		const {job, step, endpoint, signal, headMs, tokens} = send;
 		const {clock, settings, metrics} = this.#context;
 		if (!this.#crashGuard.maySend(job)) {
@@ -158,7 +158,7 @@
 		})];
 	}
 
-	#classifyResponse(send: Send, response: IncomingMessage, finish: () => void, sentAt: number): Sent {
+	#classifyResponse(send: Send, response: IncomingMessage, finish: () => void, sentAt: number): SendResult {
 		const {job, step, endpoint} = send;
 		const status = response.statusCode ?? 0;
 		const facts = this.#context.dialect.readResponse(status, response.headers);
@@ -215,7 +215,7 @@
 			end: (outcome, reason = '') => {
 				if (outcome === 'broken' || outcome === 'cancelled') {
 					this.#recordLoss(send, {
-						sentAt, answeredAt, isConnectionLost: outcome === 'broken' && reason !== silentReason, reason: reason || outcome,
+						sentAt, answeredAt, isConnectionLost: outcome === 'broken' && reason !== stallReason, reason: reason || outcome,
 					});
 				} else if (outcome === 'good' && step !== 'prefill' && status < minRedirectStatus) {
 					this.#crashGuard.recordSuccess(job);
@@ -226,7 +226,7 @@
 		};
 	}
 
-	#handleRefusal(send: Send, {isAddressReassigned}: ResponseFacts, status: number): Sent {
+	#handleRefusal(send: Send, {isAddressReassigned}: ResponseFacts, status: number): SendResult {
 		const {endpoint} = send;
 		if (isAddressReassigned) {
 			this.#endpoints.note(this.#endpoints.book.drop(endpoint.id, this.#context.clock.now()), 'endpoint');
@@ -249,7 +249,7 @@
 		});
 	}
 
-	#classifyFailure(send: Send, error: unknown, sentAt: number): Exclude<Sent, {kind: 'answer'}> {
+	#classifyFailure(send: Send, error: unknown, sentAt: number): Exclude<SendResult, {kind: 'answer'}> {
 		const {job} = send;
 		const fault = error instanceof ExchangeError ? error : new ExchangeError('reset', true, error);
 		// An endpoint that exceeded the target time before the abort may be unresponsive, or the request long
@@ -277,7 +277,7 @@
 			: this.#logFailure(send, {kind: 'notRun', reason: fault.fault, status: 0}, facts);
 	}
 
-	#logFailure<Result extends Exclude<Sent, {kind: 'answer'}>>({job, step, endpoint}: Send, sent: Result, facts: Readonly<Record<string, string | number>>): Result {
+	#logFailure<Result extends Exclude<SendResult, {kind: 'answer'}>>({job, step, endpoint}: Send, sent: Result, facts: Readonly<Record<string, string | number>>): Result {
 		this.#context.log('sendFailed', {
 			request: job.id, step, endpoint: endpoint.id, outcome: sent.kind, reason: sent.reason, ...facts, ageMs: Math.round(this.#context.clock.now() - job.arrivedAt),
 		});
--- a/packages/relay/src/work/generation.ts
+++ b/packages/relay/src/work/generation.ts
@@ -8,9 +8,9 @@
 import {type Endpoint} from '@gatehead/schema/routing';
 import {isOff} from '../core/experiment.js';
 import {
-	ExchangeError, isCut, readBody, settleEnd,
+	ExchangeError, isTruncated, readBody, awaitPendingReset,
 } from '../upstream/exchange.js';
-import {silentReason, type Sent} from '../upstream/sender.js';
+import {stallReason, type SendResult} from '../upstream/sender.js';
 import {DecodePrefill} from './decode-prefill.js';
 import {
 	defaultRetryAfterMs, failJob, refuseJob, abortJob,
@@ -158,7 +158,7 @@
 		return status === okStatus ? this.#forwardStream(sent, endpoint) : this.#forwardError(sent, endpoint, status);
 	}
 
-	async #handleUnanswered(sent: Exclude<Sent, {kind: 'answer'}>, endpoint: Endpoint, prefilled: PrefillResult | undefined, reservation: string): Promise<DecodeResult> {
+	async #handleUnanswered(sent: Exclude<SendResult, {kind: 'answer'}>, endpoint: Endpoint, prefilled: PrefillResult | undefined, reservation: string): Promise<DecodeResult> {
 		this.#prefill.release(prefilled);
 		if (this.#job.signal.aborted) {
 			return {kind: 'ended', end: abortJob(this.#job, endpoint)};
@@ -201,7 +201,7 @@
 		const job = this.#job;
 		const {budgets, guard, context: {log}} = this.#parts;
 		const mayContinue = !isOff(this.#parts.context, 'continuing') && job.route.isResumable && job.runs < job.route.maxAttempts && this.#rounds < maxRounds;
-		if (!mayContinue || !(await guard.mayRunAgain(job)) || job.signal.aborted || !budgets.take(job, 'continue')) {
+		if (!mayContinue || !(await guard.mayRetry(job)) || job.signal.aborted || !budgets.take(job, 'continue')) {
 			return false;
 		}
 
@@ -213,7 +213,7 @@
 		return true;
 	}
 
-	async #forwardError(sent: Extract<Sent, {kind: 'answer'}>, endpoint: Endpoint, status: number): Promise<DecodeResult> {
+	async #forwardError(sent: Extract<SendResult, {kind: 'answer'}>, endpoint: Endpoint, status: number): Promise<DecodeResult> {
 		try {
 			const body = await readBody(sent.response, maxBodyBytes);
 			sent.end(status >= minServerErrorStatus ? 'error' : 'good');
@@ -235,7 +235,7 @@
 		}
 	}
 
-	async #forwardStream(sent: Extract<Sent, {kind: 'answer'}>, endpoint: Endpoint): Promise<DecodeResult> {
+	async #forwardStream(sent: Extract<SendResult, {kind: 'answer'}>, endpoint: Endpoint): Promise<DecodeResult> {
 		const {admission, context: {clock, metrics}} = this.#parts;
 		const {response} = sent;
 		// A stream that cannot continue elsewhere has no idle timeout
@@ -249,8 +249,8 @@
 				this.#recordStartLatency();
 			}
 
-			await settleEnd(response);
-			if (isCut(response)) {
+			await awaitPendingReset(response);
+			if (isTruncated(response)) {
 				throw new ExchangeError('reset', true, new Error('the stream was cut'));
 			}
 
@@ -261,7 +261,7 @@
 			metrics.time('gap', longestGapMs);
 			return {kind: 'ended', end: {outcome: 'answered', endpoint: endpoint.id, longestGapMs: Math.round(longestGapMs)}};
 		} catch (error) {
-			return await this.#handleStreamError(sent, endpoint, idleTimeout.hasExpired ? silentReason : String(error));
+			return await this.#handleStreamError(sent, endpoint, idleTimeout.hasExpired ? stallReason : String(error));
 		} finally {
 			idleTimeout.stop();
 		}
@@ -279,7 +279,7 @@
 		}
 	}
 
-	async #handleStreamError(sent: Extract<Sent, {kind: 'answer'}>, endpoint: Endpoint, reason: string): Promise<DecodeResult> {
+	async #handleStreamError(sent: Extract<SendResult, {kind: 'answer'}>, endpoint: Endpoint, reason: string): Promise<DecodeResult> {
 		sent.response.destroy();
 		if (this.#job.signal.aborted) {
 			sent.end('cancelled');
--- a/packages/relay/src/work/parts.ts
+++ b/packages/relay/src/work/parts.ts
@@ -3,7 +3,7 @@
 import {type LoadGossip} from '../peer/load-gossip.js';
 import {type CrashGuard} from '../upstream/crash-guard.js';
 import {type Endpoints} from '../upstream/endpoints.js';
-import {type OwnCalls} from '../upstream/own-calls.js';
+import {type ControlCalls} from '../upstream/control-calls.js';
 import {type Sender} from '../upstream/sender.js';
 import {type RetryBudgets} from './retry-budgets.js';
 import {type Admission} from './admission.js';
@@ -16,7 +16,7 @@
 	readonly guard: CrashGuard;
 	readonly budgets: RetryBudgets;
 	readonly admission: Admission;
-	readonly ownCalls: OwnCalls;
+	readonly ownCalls: ControlCalls;
 	readonly orders: StageOrders;
 	readonly news: LoadGossip;
 };
--- a/packages/relay/src/work/plain.ts
+++ b/packages/relay/src/work/plain.ts
@@ -11,7 +11,7 @@
 import {type Endpoint} from '@gatehead/schema/routing';
 import {isOff} from '../core/experiment.js';
 import {readBody} from '../upstream/exchange.js';
-import {answeredElsewhere, type Sent} from '../upstream/sender.js';
+import {answeredElsewhere, type SendResult} from '../upstream/sender.js';
 import {type RetryCause} from './retry-budgets.js';
 import {timeLeft, type Job} from './job.js';
 import {type JobEnd} from './job-end.js';
@@ -45,7 +45,7 @@
 /** Outcome of one attempt. */
 type AttemptResult
 	= | {readonly kind: 'response'; readonly answer: BufferedResponse}
-		| Exclude<Sent, {kind: 'answer'}>;
+		| Exclude<SendResult, {kind: 'answer'}>;
 
 /** Outcome of one of several concurrent attempts, with the controller that identifies it. */
 type HedgeResult = {
@@ -140,7 +140,7 @@
 				failed = result.kind === 'response' ? result.answer : failed;
 				cause = retryCauseOf(result);
 				if (cause === 'broken') {
-					await this.#parts.guard.mayRunAgain(this.#job);
+					await this.#parts.guard.mayRetry(this.#job);
 				}
 			}
 		} finally {
@@ -187,7 +187,7 @@
 	#chooseEndpoint(): Endpoint | undefined {
 		const {endpoints, context: {settings: {hall}}} = this.#parts;
 		const ordered = endpoints.order(this.#job.service.name, {
-			stage: undefined, hall, weights, bearable: 0,
+			stage: undefined, hall, weights, capacityTokens: 0,
 		});
 		return ordered.find(({id}) => !this.#triedEndpoints.has(id));
 	}
--- a/packages/relay/src/work/prefill.ts
+++ b/packages/relay/src/work/prefill.ts
@@ -108,7 +108,7 @@
 	#candidates(hall: string): Endpoint[] {
 		const {endpoints} = this.#parts;
 		const ordered = endpoints.order(this.#job.service.name, {
-			stage: 'prefill', hall, weights, bearable: 0,
+			stage: 'prefill', hall, weights, capacityTokens: 0,
 		});
 		const usable = ordered.filter(({id}) => endpoints.isUsable(id));
 		return usable.slice(0, maxAttempts);
--- a/packages/relay/src/work/replica-search.ts
+++ b/packages/relay/src/work/replica-search.ts
@@ -9,7 +9,7 @@
 import {type RelayContext} from '../core/context.js';
 import {isOff} from '../core/experiment.js';
 import {type Endpoints} from '../upstream/endpoints.js';
-import {type OwnCalls} from '../upstream/own-calls.js';
+import {type ControlCalls} from '../upstream/control-calls.js';
 import {type RateLimiter} from '../upstream/rate-limiter.js';
 import {type Job} from './job.js';
 
@@ -45,7 +45,7 @@
 export type ReplicaSearchParts = {
 	readonly context: RelayContext;
 	readonly endpoints: Endpoints;
-	readonly calls: OwnCalls;
+	readonly calls: ControlCalls;
 	readonly limiter: RateLimiter;
 };
 
@@ -53,7 +53,7 @@
 export class ReplicaSearch {
 	readonly #context: RelayContext;
 	readonly #endpoints: Endpoints;
-	readonly #calls: OwnCalls;
+	readonly #calls: ControlCalls;
 
 	readonly #limiter: RateLimiter;
 
@@ -68,7 +68,7 @@
 	async find({job, tokens, ttlMs, capacityTokens, avoid}: ReservationRequest): Promise<Reservation | undefined> {
 		const {clock, settings: {hall}} = this.#context;
 		const ordered = this.#endpoints.order(job.service.name, {
-			stage: 'decode', hall, tokens, weights, bearable: capacityTokens,
+			stage: 'decode', hall, tokens, weights, capacityTokens,
 		});
 		const [best] = ordered;
 		if (best !== undefined && isOff(this.#context, 'reservations')) {
@@ -98,7 +98,7 @@
 				};
 			}
 
-			this.#limiter.giveBack(endpoint.id, acquired.permit);
+			this.#limiter.returnPermit(endpoint.id, acquired.permit);
 		}
 
 		return undefined;
--- a/packages/relay/src/work/service-queue.ts
+++ b/packages/relay/src/work/service-queue.ts
@@ -10,7 +10,7 @@
 import {type LoadGossip} from '../peer/load-gossip.js';
 import {type Endpoints} from '../upstream/endpoints.js';
 import {type RateLimiter} from '../upstream/rate-limiter.js';
-import {type OwnCalls} from '../upstream/own-calls.js';
+import {type ControlCalls} from '../upstream/control-calls.js';
 import {defaultRetryAfterMs} from './generation-failure.js';
 import {type Reservation, type ReplicaSearch, type ReservationRequest} from './replica-search.js';
 
@@ -34,7 +34,7 @@
 export type AdmissionParts = {
 	readonly context: RelayContext;
 	readonly endpoints: Endpoints;
-	readonly calls: OwnCalls;
+	readonly calls: ControlCalls;
 	readonly news: LoadGossip;
 	readonly limiter: RateLimiter;
 };
@@ -197,7 +197,7 @@
 	#recordGrant({job, tokens, capacityTokens}: ReservationRequest, {endpoint}: Reservation, waitedMs: number): void {
 		const {endpoints, news, context: {log}} = this.#parts;
 		this.rate.setCapacity(capacityTokens);
-		endpoints.noteTaken(endpoint.id, tokens, startDelayMs);
+		endpoints.recordMemoryInUse(endpoint.id, tokens, startDelayMs);
 		news.announceReservation(endpoint.id, tokens, startDelayMs + this.rate.holdMs);
 		log('reserved', {
 			request: job.id, endpoint: endpoint.id, tokens, waitedMs: Math.round(waitedMs), waiting: this.size,
--- a/packages/relay/src/work/stage-orders.ts
+++ b/packages/relay/src/work/stage-orders.ts
@@ -19,8 +19,8 @@
 import {isOff} from '../core/experiment.js';
 import {type RoutingState} from '../core/routing-state.js';
 import {type Fleet} from '../peer/fleet.js';
-import {ownOrder, type Endpoints} from '../upstream/endpoints.js';
-import {type OwnCalls} from '../upstream/own-calls.js';
+import {ownOrderSource, type Endpoints} from '../upstream/endpoints.js';
+import {type ControlCalls} from '../upstream/control-calls.js';
 
 /** Interval between checks of the split, in milliseconds; short compared with a stage change. */
 const checkIntervalMs = 500;
@@ -44,7 +44,7 @@
 	readonly routing: RoutingState;
 	readonly fleet: Fleet;
 	readonly watch: DirectoryWatch;
-	readonly ownCalls: OwnCalls;
+	readonly ownCalls: ControlCalls;
 	/** Estimated rate at which a service's decode memory is released. */
 	readonly releaseRateOf: (service: string) => ReleaseRate;
 	/** Time at which a request last waited for a service's memory, at this host or at a peer. */
@@ -148,7 +148,7 @@
 
 		// The replica refuses requests until it has changed stage
 		const pause = {endpoint: endpoint.id, leftMs: stageChangeMs};
-		endpoints.hearPause(pause, ownOrder);
+		endpoints.mergePause(pause, ownOrderSource);
 		fleet.announcePause(pause);
 		this.#pendingOrders.add(endpoint.id, stage, clock.now());
 		const outcome = await ownCalls.orderStage(endpoint, stage, self.host, fence);
--- a/packages/standin/src/limits/limited-fleet.ts
+++ b/packages/standin/src/limits/limited-fleet.ts
@@ -254,7 +254,7 @@
 			send: (to, message) => {
 				this.#deliver(host, to, message);
 			},
-			renew: ignore,
+			reconnect: ignore,
 		});
 		this.#clock.after(joinMs, () => {
 			this.#noteFleetChange();
--- a/packages/standin/src/wire/crashing-request.test.ts
+++ b/packages/standin/src/wire/crashing-request.test.ts
@@ -101,7 +101,7 @@
 		try {
 			const content = {digest: 'a'.repeat(64), bytes: crashingBody.length};
 			const [first, second] = world.relays;
-			first?.relay.guard.hear([{
+			first?.relay.guard.mergeReports([{
 				content: content.digest, bytes: content.bytes, ends: [{end: 'e1', ageMs: 2000}, {end: 'e2', ageMs: 1000}], refuted: [],
 			}]);
 			await until(() => second?.relay.guard.holdMs(content) !== undefined);
--- a/packages/standin/src/wire/own-calls.test.ts
+++ b/packages/standin/src/wire/own-calls.test.ts
@@ -11,7 +11,7 @@
 import {ManualClock} from '@gatehead/policy/utils/manual-clock';
 import {seedRandom} from '@gatehead/policy/utils/random';
 import {Endpoints} from '@gatehead/relay/upstream/endpoints';
-import {OwnCalls} from '@gatehead/relay/upstream/own-calls';
+import {ControlCalls} from '@gatehead/relay/upstream/control-calls';
 import {Metrics} from '@gatehead/relay/utils/metrics';
 import {type Endpoint} from '@gatehead/schema/routing';
 import {expect} from 'earl';
@@ -26,7 +26,7 @@
 
 type Case = {
 	readonly name: string;
-	readonly call: (own: OwnCalls, at: Endpoint) => unknown;
+	readonly call: (own: ControlCalls, at: Endpoint) => unknown;
 };
 
 const cases: readonly Case[] = [
@@ -55,9 +55,9 @@
 				clock: new ManualClock(), log: ignore, random: seedRandom(1), metrics: new Metrics(undefined, {}), settings, dialect: wireDialect,
 			};
 			const endpoints = new Endpoints(context, {
-				onPause: ignore, onLimit: ignore, onDrain: ignore, onRoom: ignore, onGone: ignore, subset: () => wholeFleet,
+				onPause: ignore, onLimit: ignore, onDrain: ignore, onCapacityFreed: ignore, onGone: ignore, subset: () => wholeFleet,
 			});
-			const own = new OwnCalls(context, endpoints);
+			const own = new ControlCalls(context, endpoints);
 			const warnings: Error[] = [];
 			const hear = (warning: Error) => {
 				warnings.push(warning);
--- a/packages/standin/src/wire/restarts.test.ts
+++ b/packages/standin/src/wire/restarts.test.ts
@@ -64,7 +64,7 @@
 			try {
 				await publish(world, before);
 				for (const running of world.relays) {
-					running.relay.endpoints.hearPause({endpoint: findDecode(running)?.id ?? '', leftMs: pauseMs}, 'test');
+					running.relay.endpoints.mergePause({endpoint: findDecode(running)?.id ?? '', leftMs: pauseMs}, 'test');
 				}
 
 				await publish(world, after);
