--- a/packages/policy/src/core/generated.test.ts
+++ b/packages/policy/src/core/generated.test.ts
@@ -1,4 +1,4 @@
-/** Generated inputs: what must hold of the decisions whatever comes. */
+/** Property-based tests of membership, host selection, cells and the scheduler. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import fc from 'fast-check';
@@ -8,8 +8,8 @@
 import {Scheduler} from '../scheduler/scheduler.js';
 import {ignore} from '../utils/ignore.js';
 import {seedRandom} from '../utils/random.js';
-import {cellsOf, keeperOf, mostCellEngines} from './cell.js';
-import {HostRings, mostAnswered} from './lookup.js';
+import {cellsOf, keeperOf, maxCellEngines} from './cell.js';
+import {HostRings, maxLookupHosts} from './lookup.js';
 import {Members} from './members.js';
 
 const seed = 20_261_202;
@@ -38,30 +38,30 @@
 	return members.list().map(({host, incarnation, counter, state}) => `${host} ${incarnation} ${counter} ${state}`).toSorted();
 }
 
-describe('membership news', () => {
-	it('ends in the same table whatever the order and however often it comes', () => {
-		fc.assert(fc.property(fc.array(record, {maxLength: 30}), fc.integer(), (news, shift) => {
+describe('membership updates', () => {
+	it('converge to the same table regardless of order and duplicates', () => {
+		fc.assert(fc.property(fc.array(record, {maxLength: 30}), fc.integer(), (updates, shift) => {
 			const ordered = new Members(self);
-			const mixed = new Members(self);
-			for (const each of news) {
+			const reordered = new Members(self);
+			for (const each of updates) {
 				ordered.merge(each);
 			}
 
-			const turned = news.length === 0 ? [] : news.map((_, index) => news[(index + Math.abs(shift)) % news.length]);
-			for (const each of [...turned, ...turned.toReversed()]) {
+			const rotated = updates.length === 0 ? [] : updates.map((_, index) => updates[(index + Math.abs(shift)) % updates.length]);
+			for (const each of [...rotated, ...rotated.toReversed()]) {
 				if (each !== undefined) {
-					mixed.merge(each);
+					reordered.merge(each);
 				}
 			}
 
-			expect(stateOf(mixed)).toEqual(stateOf(ordered));
+			expect(stateOf(reordered)).toEqual(stateOf(ordered));
 		}), options);
 	});
 
-	it('never makes a host believe that it is itself gone', () => {
-		fc.assert(fc.property(fc.array(record, {maxLength: 30}), news => {
+	it('never mark the local host as suspect or dead', () => {
+		fc.assert(fc.property(fc.array(record, {maxLength: 30}), updates => {
 			const members = new Members(self);
-			for (const each of news) {
+			for (const each of updates) {
 				members.merge({...each, host: 'self', incarnation: Math.min(each.incarnation, 2)});
 			}
 
@@ -69,7 +69,7 @@
 		}), options);
 	});
 
-	it('keeps the number of neighbours fixed', () => {
+	it('keep the number of neighbours bounded', () => {
 		fc.assert(fc.property(fc.uniqueArray(fc.string({minLength: 1, maxLength: 8}), {maxLength: 60}), hosts => {
 			const members = new Members(self);
 			for (const host of hosts) {
@@ -81,8 +81,8 @@
 	});
 });
 
-/** Most steps that news takes from any of some hosts to all others, over links that carry both ways. */
-function countSteps(size: number): number {
+/** Number of hops in which an update from the first host reaches all others over bidirectional links. */
+function countHops(size: number): number {
 	const halls = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6'];
 	const records = Array.from({length: size}, (_, index) => ({...self, host: `host-${index}`, hall: halls[index % halls.length] ?? ''}));
 	const links = new Map(records.map(each => [each.host, new Set<string>()]));
@@ -99,9 +99,9 @@
 	}
 
 	let reached = new Set(['host-0']);
-	for (let steps = 0; steps < size; steps += 1) {
+	for (let hops = 0; hops < size; hops += 1) {
 		if (reached.size === size) {
-			return steps;
+			return hops;
 		}
 
 		reached = new Set([...reached, ...[...reached].flatMap(each => [...links.get(each) ?? []])]);
@@ -110,21 +110,21 @@
 	return size;
 }
 
-describe('spreading', () => {
-	for (const {size, most} of [{size: 8, most: 3}, {size: 64, most: 5}, {size: 350, most: 7}]) {
-		it(`news reach ${size} hosts in at most ${most} steps`, () => {
-			expect(countSteps(size) <= most).toEqual(true);
+describe('update propagation', () => {
+	for (const {size, maxHops} of [{size: 8, maxHops: 3}, {size: 64, maxHops: 5}, {size: 350, maxHops: 7}]) {
+		it(`an update reaches ${size} hosts in at most ${maxHops} hops`, () => {
+			expect(countHops(size) <= maxHops).toEqual(true);
 		});
 	}
 });
 
 describe('lookups', () => {
-	it('name at most four hosts, none that is leaving or gone', () => {
+	it('return at most four hosts, none of them leaving or dead', () => {
 		fc.assert(fc.property(fc.array(record, {maxLength: 40}), members => {
 			const ordered = new HostRings(members).order({
 				caller: 'c', client: '127.0.0.1', hall: 'north', keepers: new Set(),
 			});
-			expect(ordered.length <= mostAnswered).toEqual(true);
+			expect(ordered.length <= maxLookupHosts).toEqual(true);
 			expect(ordered.filter(({state}) => state === 'dead' || state === 'leaving')).toEqual([]);
 		}), options);
 	});
@@ -138,24 +138,24 @@
 
 describe('lookups for a model', () => {
 	const cases = [
-		{name: 'lead to its keepers where there are many', keepers: 8, isLed: true},
-		{name: 'spread as ever where one keeper would bear all', keepers: 1, isLed: false},
+		{name: 'return its keepers if there are enough of them', keepers: 8, usesKeepers: true},
+		{name: 'return other hosts if there is only one keeper', keepers: 1, usesKeepers: false},
 	];
-	for (const {name, keepers, isLed} of cases) {
+	for (const {name, keepers, usesKeepers} of cases) {
 		it(name, () => {
 			const members = Array.from({length: 40}, (_, index) => ({...self, host: `host-${index}`}));
 			const kept = new Set(members.slice(0, keepers).map(each => each.host));
 			const first = Array.from({length: 60}, (_, client) => new HostRings(members).order({
 				caller: 'c', client: String(client), hall: 'north', keepers: kept,
 			})[0]?.host ?? '');
-			expect(first.every(each => kept.has(each))).toEqual(isLed);
+			expect(first.every(each => kept.has(each))).toEqual(usesKeepers);
 			expect(new Set(first).size >= Math.min(keepers, 6)).toEqual(true);
 		});
 	}
 });
 
 describe('cells', () => {
-	it('hold every engine once, both roles, and stay small', () => {
+	it('contain every engine once and both roles, and have bounded size', () => {
 		fc.assert(fc.property(fc.integer({min: 2, max: 200}), count => {
 			const cells = cellsOf({
 				deployment: 'd', version: 1, models: [{
@@ -167,29 +167,29 @@
 			expect(cells.flatMap(each => each.engines.map(engine => engine.name)).toSorted()).toEqual(makeEngines(count).map(each => each.name).toSorted());
 			for (const {engines} of cells) {
 				expect(new Set(engines.map(each => each.role)).size).toEqual(2);
-				expect(engines.length <= mostCellEngines + 2).toEqual(true);
+				expect(engines.length <= maxCellEngines + 2).toEqual(true);
 			}
 		}), options);
 	});
 
-	it('keep their keeper when another host goes', () => {
+	it('keep their keeper when another host is removed', () => {
 		fc.assert(fc.property(fc.uniqueArray(fc.string({minLength: 1, maxLength: 6}), {minLength: 2, maxLength: 20}), fc.nat(), (hosts, nth) => {
 			const cell = {
 				name: 'm/0', model: 'm', engines: [], halls: ['north'],
 			};
 			const candidates = hosts.map(host => ({host, hall: 'north'}));
 			const keeper = keeperOf(cell, candidates);
-			const gone = hosts[nth % hosts.length];
-			if (gone !== keeper) {
-				expect(keeperOf(cell, candidates.filter(each => each.host !== gone))).toEqual(keeper);
+			const removed = hosts[nth % hosts.length];
+			if (removed !== keeper) {
+				expect(keeperOf(cell, candidates.filter(each => each.host !== removed))).toEqual(keeper);
 			}
 		}), options);
 	});
 });
 
-type Act = {readonly kind: 'ask' | 'prefilled' | 'release' | 'bounced' | 'withdraw' | 'wait'; readonly nth: number};
+type Action = {readonly kind: 'ask' | 'prefilled' | 'release' | 'bounced' | 'withdraw' | 'wait'; readonly nth: number};
 
-const act = fc.record<Act>({kind: fc.constantFrom('ask', 'prefilled', 'release', 'bounced', 'withdraw', 'wait'), nth: fc.integer({min: 0, max: 11})});
+const action = fc.record<Action>({kind: fc.constantFrom('ask', 'prefilled', 'release', 'bounced', 'withdraw', 'wait'), nth: fc.integer({min: 0, max: 11})});
 
 function makeAsk(nth: number): LeaseAsk {
 	return {
@@ -198,8 +198,8 @@
 }
 
 describe('scheduler', () => {
-	it('never grants more decode slots than there are, and never one request twice', () => {
-		fc.assert(fc.property(fc.array(act, {maxLength: 80}), acts => {
+	it('never grants more decode slots than exist, and never two to one request', () => {
+		fc.assert(fc.property(fc.array(action, {maxLength: 80}), actions => {
 			const engines = makeEngines(6);
 			const scheduler = new Scheduler({
 				engines, kvBytesPerToken: 1, objective: 'goodput', random: seedRandom(seed), shareOf: () => 1, limitOf: () => undefined, isLeaving: () => false,
@@ -211,7 +211,7 @@
 			}
 
 			const held = new Map<string, string>();
-			const handlers: Record<Act['kind'], (nth: number, key: string, now: number) => void> = {
+			const handlers: Record<Action['kind'], (nth: number, key: string, now: number) => void> = {
 				ask(nth, _key, now) {
 					scheduler.ask(makeAsk(nth), now);
 				},
@@ -232,7 +232,7 @@
 				wait: ignore,
 			};
 			let now = 0;
-			for (const {kind, nth} of acts) {
+			for (const {kind, nth} of actions) {
 				now += kind === 'wait' ? waitMs : stepMs;
 				handlers[kind](nth, leaseKey(makeAsk(nth)), now);
 				for (const decision of scheduler.decide(now)) {
--- a/packages/policy/src/core/ledger.test.ts
+++ b/packages/policy/src/core/ledger.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: what the ledger says of a call under a key. */
+/** Guards against a request that starts twice under one key, and against lost entries of requests that still run. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {Ledger} from './ledger.js';
@@ -8,14 +8,14 @@
 	readonly id: string;
 	readonly body: string;
 	readonly lapsesAt: number;
-	/** Ends the request's work after the call. */
+	/** Marks the work as ended after the call. */
 	readonly ends?: boolean;
 	readonly expected: string;
 };
 
 const cases: ReadonlyArray<{readonly name: string; readonly steps: readonly Step[]}> = [
 	{
-		name: 'a second call finds the first', steps: [
+		name: 'a second call with the same key returns the first entry', steps: [
 			{
 				at: 0, id: 'a', body: 'x', lapsesAt: 100, expected: 'first',
 			},
@@ -25,7 +25,7 @@
 		],
 	},
 	{
-		name: 'one key with two bodies is refused', steps: [
+		name: 'a key reused for a different body is rejected', steps: [
 			{
 				at: 0, id: 'a', body: 'x', lapsesAt: 100, expected: 'first',
 			},
@@ -35,14 +35,14 @@
 		],
 	},
 	{
-		name: 'no call begins under a lapsed ticket', steps: [
+		name: 'a call with an expired ticket does not start', steps: [
 			{
 				at: 100, id: 'a', body: 'x', lapsesAt: 100, expected: 'lapsed',
 			},
 		],
 	},
 	{
-		name: 'a forgotten request cannot begin again', steps: [
+		name: 'a request whose entry was removed cannot start again', steps: [
 			{
 				at: 0, id: 'a', body: 'x', lapsesAt: 100, ends: true, expected: 'first',
 			},
@@ -58,7 +58,7 @@
 		],
 	},
 	{
-		name: 'work that has not ended outlives its ticket', steps: [
+		name: 'the entry of running work is kept after its ticket expired', steps: [
 			{
 				at: 0, id: 'a', body: 'x', lapsesAt: 100, expected: 'first',
 			},
--- a/packages/policy/src/core/ledger.ts
+++ b/packages/policy/src/core/ledger.ts
@@ -1,59 +1,56 @@
 /**
- * The memory that guards requests which may not be repeated. Safety: an
- * entry is kept until its ticket has lapsed by this process's own clock and
- * its work has ended, and no ticket is honoured after that same instant. The
- * right to run dies with this memory; it is never handed over.
+ * Deduplication table for requests that must not run twice. Safety: an entry
+ * is removed only once its ticket has expired by this process's clock and its
+ * work has ended, and no request starts with an expired ticket; a key can
+ * therefore not start a second time. The right to run a request is lost with
+ * this in-memory table and is never handed over to another process.
  */
 
-/** One guarded request. */
 export type LedgerEntry<Job> = {
 	readonly id: string;
-	/** Digest of the body, so that one key cannot name two requests. */
+	/** Digest of the request body; detects reuse of a key for a different request. */
 	readonly bodyDigest: string;
-	/** Own clock's instant up to which the ticket is honoured. */
+	/** When the ticket expires, in milliseconds of this process's clock. */
 	readonly lapsesAt: number;
 	readonly job: Job;
 	isEnded: boolean;
 };
 
-/** What a call under a key turns out to be. */
-export type LedgerVerdict<Job>
+/** Result of looking up a key: `otherBody` is a reuse of the key for a different body, `lapsed` an expired ticket, `full` a table without room. */
+export type LedgerResult<Job>
 	= | {readonly kind: 'first'; readonly entry: LedgerEntry<Job>}
 		| {readonly kind: 'repeat'; readonly entry: LedgerEntry<Job>}
 		| {readonly kind: 'otherBody'}
 		| {readonly kind: 'lapsed'}
 		| {readonly kind: 'full'};
 
-/** What a call brings. */
 export type LedgerCall<Job> = {
 	readonly id: string;
 	readonly bodyDigest: string;
 	readonly lapsesAt: number;
-	/** Makes the job of a first call. */
+	/** Creates the job; called only for the first call with a key. */
 	readonly begin: () => Job;
 };
 
-/** Guarded requests of one incarnation. */
+/** Deduplication table of one incarnation of a host. */
 export class Ledger<Job> {
 	readonly #entries = new Map<string, LedgerEntry<Job>>();
-	readonly #most: number;
+	readonly #maxEntries: number;
 
-	constructor(most: number) {
-		this.#most = most;
+	constructor(maxEntries: number) {
+		this.#maxEntries = maxEntries;
 	}
 
-	/** Entries kept. */
 	get size(): number {
 		return this.#entries.size;
 	}
 
-	/** Whether a request is known here. */
 	has(id: string): boolean {
 		return this.#entries.has(id);
 	}
 
-	/** Enters a first call, or finds the earlier one. */
-	enter({id, bodyDigest, lapsesAt, begin}: LedgerCall<Job>, now: number): LedgerVerdict<Job> {
+	/** Registers the first call with a key, or returns the entry of the earlier call. */
+	enter({id, bodyDigest, lapsesAt, begin}: LedgerCall<Job>, now: number): LedgerResult<Job> {
 		const known = this.#entries.get(id);
 		if (known !== undefined) {
 			return known.bodyDigest === bodyDigest ? {kind: 'repeat', entry: known} : {kind: 'otherBody'};
@@ -64,7 +61,7 @@
 		}
 
 		this.#sweepWhenFull(now);
-		if (this.#entries.size >= this.#most) {
+		if (this.#entries.size >= this.#maxEntries) {
 			return {kind: 'full'};
 		}
 
@@ -75,7 +72,7 @@
 		return {kind: 'first', entry};
 	}
 
-	/** Marks a request's work as ended. */
+	/** Marks the work as ended; the entry stays until its ticket has expired as well. */
 	end(id: string): void {
 		const entry = this.#entries.get(id);
 		if (entry !== undefined) {
@@ -83,12 +80,12 @@
 		}
 	}
 
-	/** Takes back a first call that was refused before any order left, so that the same key may try again. */
+	/** Removes the entry of a call that was rejected before any work was dispatched, so that the key can be retried. */
 	withdraw(id: string): void {
 		this.#entries.delete(id);
 	}
 
-	/** Forgets what has ended and lapsed. */
+	/** Removes entries whose work has ended and whose ticket has expired. */
 	sweep(now: number): void {
 		for (const [id, {lapsesAt, isEnded}] of this.#entries) {
 			if (isEnded && lapsesAt <= now) {
@@ -98,7 +95,7 @@
 	}
 
 	#sweepWhenFull(now: number): void {
-		if (this.#entries.size >= this.#most) {
+		if (this.#entries.size >= this.#maxEntries) {
 			this.sweep(now);
 		}
 	}
--- a/packages/policy/src/core/lookup.ts
+++ b/packages/policy/src/core/lookup.ts
@@ -1,57 +1,56 @@
 /**
- * Which hosts a caller should use: near ones first, lightly loaded ones more
- * often, the same ones for the same caller as long as little changes.
- * Efficiency: a stale answer costs a redirect, never a promise.
+ * Selects the hosts that a caller should connect to: hosts of its hall first,
+ * weighted by load, and stable per caller while the load changes little. A
+ * stale result costs a redirect.
  */
 import {hashText} from '@gatehead/schema/hash-text';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
 import {jitter, type Random} from '../utils/random.js';
 
-/** Most hosts of one answer, so that an answer's cost does not grow with the fleet. */
-export const mostAnswered = 4;
-/** Places on the ring that a lookup looks at. */
-const probes = 12;
-/** Keepers of one model from which on its callers are led to them. */
-const leastKeepers = 6;
-const idleWeight = 0.25;
+/** Maximum number of hosts in a result. */
+export const maxLookupHosts = 4;
+/** Ring positions probed per lookup. */
+const probeCount = 12;
+/** Minimum number of keepers of a model for its callers to be sent to them. */
+const minKeepers = 6;
+const baseWeight = 0.25;
 const twoTo32 = 4_294_967_296;
-const ttlSpread = 0.25;
+const ttlJitter = 0.25;
 
-/** Who asks. */
 export type Lookup = {
 	readonly caller: string;
-	/** Hosts that keep cells of the model that the caller means to use, where it said so. */
+	/** Keepers of the requested model's cells; empty if the caller named no model. */
 	readonly keepers: ReadonlySet<string>;
-	/** The caller's own address, so that clients of one caller spread. */
+	/** Address of the client, so that clients of one caller spread over hosts. */
 	readonly client: string;
-	/** The hall that the caller is near to, if it said so. */
+	/** Preferred hall, if the caller gave one. */
 	readonly hall: string | undefined;
 };
 
-/** Load in steps, so that small changes of it move nobody. */
-function stepOf(load: number): number {
+/** Rounds the load to quarters, so that small changes do not reorder hosts. */
+function quantizeLoad(load: number): number {
 	return Math.round(load * 4) / 4;
 }
 
-/** Weighted rendezvous: the smaller the cost, the earlier the host is named. */
-function costOf({caller, client}: Lookup, {host, load}: MemberRecord): number {
+/** Cost of a host in weighted rendezvous hashing; hosts are ordered by ascending cost. */
+function weightedCost({caller, client}: Lookup, {host, load}: MemberRecord): number {
 	const share = (hashText(`${caller}\n${client}\n${host}`) + 1) / (twoTo32 + 1);
-	return -Math.log(share) * (idleWeight + stepOf(load));
+	return -Math.log(share) * (baseWeight + quantizeLoad(load));
 }
 
-type Ring = ReadonlyArray<{readonly place: number; readonly member: MemberRecord}>;
+type Ring = ReadonlyArray<{readonly position: number; readonly member: MemberRecord}>;
 
 function makeRing(members: readonly MemberRecord[]): Ring {
-	return members.map(member => ({place: hashText(member.host), member})).toSorted((left, right) => left.place - right.place);
+	return members.map(member => ({position: hashText(member.host), member})).toSorted((left, right) => left.position - right.position);
 }
 
-/** The first host at or after a place on the ring. */
-function successorOf(ring: Ring, place: number): MemberRecord | undefined {
+/** Finds the first host at or after a ring position, wrapping around. */
+function findSuccessor(ring: Ring, position: number): MemberRecord | undefined {
 	let low = 0;
 	let high = ring.length;
 	while (low < high) {
 		const middle = Math.floor((low + high) / 2);
-		if ((ring[middle]?.place ?? 0) < place) {
+		if ((ring[middle]?.position ?? 0) < position) {
 			low = middle + 1;
 		} else {
 			high = middle;
@@ -61,14 +60,14 @@
 	return (ring[low] ?? ring[0])?.member;
 }
 
-/** Hosts laid out once for many lookups; made anew when what is known of the hosts changes. */
+/** Consistent-hash rings over all hosts and per hall. Immutable: build new rings when the membership changes. */
 export class HostRings {
 	readonly #all: Ring;
 	readonly #byHall = new Map<string, Ring>();
 
-	/** Leaving, suspect and dead hosts are left out, unless only suspects remain. */
+	/** Includes alive hosts only; suspect hosts if none is alive. */
 	constructor(members: readonly MemberRecord[]) {
-		// A host that only the platform's list names has no incarnation to give a ticket of
+		// Hosts known only from the platform's list have incarnation 0 and cannot issue tickets
 		const known = members.filter(each => each.incarnation > 0);
 		const alive = known.filter(each => each.state === 'alive');
 		const usable = alive.length > 0 ? alive : known.filter(each => each.state === 'suspect');
@@ -78,53 +77,53 @@
 		}
 	}
 
-	/** Hosts in the order to try: a fixed number of probes, whatever the fleet's size. */
+	/** Returns at most `maxLookupHosts` hosts in the order to try. Probes a fixed number of positions, independent of the number of hosts. */
 	order(lookup: Lookup): MemberRecord[] {
-		const kept = this.#orderKeepers(lookup);
-		if (kept.length >= mostAnswered) {
-			return kept.slice(0, mostAnswered);
+		const keeperHosts = this.#orderKeepers(lookup);
+		if (keeperHosts.length >= maxLookupHosts) {
+			return keeperHosts.slice(0, maxLookupHosts);
 		}
 
 		const near = this.#probe(lookup, this.#byHall.get(lookup.hall ?? '') ?? []);
-		const chosen = near.length >= mostAnswered ? near : [...near, ...this.#probe(lookup, this.#all).filter(each => !near.includes(each))];
-		return chosen.slice(0, mostAnswered);
+		const chosen = near.length >= maxLookupHosts ? near : [...near, ...this.#probe(lookup, this.#all).filter(each => !near.includes(each))];
+		return chosen.slice(0, maxLookupHosts);
 	}
 
 	/**
-	 * Keepers of the wanted model's cells: a request that comes in there needs
-	 * no message for its leases. Only where there are enough of them to bear
-	 * the model's callers; a small deployment's one keeper must not bear all.
+	 * Keepers of the requested model's cells, which grant leases without a
+	 * message to another host. Empty below `minKeepers`, so that all callers
+	 * of a model are not concentrated on a few hosts.
 	 */
 	#orderKeepers(lookup: Lookup): MemberRecord[] {
-		if (lookup.keepers.size < leastKeepers) {
+		if (lookup.keepers.size < minKeepers) {
 			return [];
 		}
 
-		const kept = this.#all.map(each => each.member).filter(each => lookup.keepers.has(each.host));
-		const keyed = kept.map(member => ({member, isFar: lookup.hall !== undefined && member.hall !== lookup.hall, cost: costOf(lookup, member)}));
+		const keeperHosts = this.#all.map(each => each.member).filter(each => lookup.keepers.has(each.host));
+		const keyed = keeperHosts.map(member => ({member, isFar: lookup.hall !== undefined && member.hall !== lookup.hall, cost: weightedCost(lookup, member)}));
 		keyed.sort((left, right) => Number(left.isFar) - Number(right.isFar) || left.cost - right.cost);
 		return keyed.map(each => each.member);
 	}
 
 	#probe(lookup: Lookup, ring: Ring): MemberRecord[] {
 		const found = new Set<MemberRecord>();
-		for (let probe = 0; probe < probes && found.size < ring.length; probe += 1) {
-			const member = successorOf(ring, hashText(`${lookup.caller}\n${lookup.client}\n${probe}`));
+		for (let probe = 0; probe < probeCount && found.size < ring.length; probe += 1) {
+			const member = findSuccessor(ring, hashText(`${lookup.caller}\n${lookup.client}\n${probe}`));
 			if (member !== undefined) {
 				found.add(member);
 			}
 		}
 
-		return [...found].map(member => ({member, cost: costOf(lookup, member)})).toSorted((left, right) => left.cost - right.cost).map(each => each.member);
+		return [...found].map(member => ({member, cost: weightedCost(lookup, member)})).toSorted((left, right) => left.cost - right.cost).map(each => each.member);
 	}
 }
 
-/** Time to live of an answer, spread so that callers do not come back together. */
+/** Time to live of a result in milliseconds, with jitter so that callers do not refresh at the same time. */
 export function timeToLive(ttlMs: number, random: Random): number {
-	return Math.round(jitter(random, ttlMs, ttlSpread));
+	return Math.round(jitter(random, ttlMs, ttlJitter));
 }
 
-/** Longest time to live that may have been handed out: a planned stop goes on accepting that long. */
+/** Upper bound of `timeToLive`; a host accepts requests for that long after a planned stop begins. */
 export function longestTimeToLive(ttlMs: number): number {
-	return Math.ceil(ttlMs * (1 + ttlSpread));
+	return Math.ceil(ttlMs * (1 + ttlJitter));
 }
--- a/packages/policy/src/core/members.ts
+++ b/packages/policy/src/core/members.ts
@@ -1,14 +1,14 @@
 /**
- * What one host knows of all hosts, and whom it exchanges heartbeats with:
- * a ring of small fixed degree, so that the cost of a host does not grow with
- * the fleet. Efficiency: a wrong guess here costs goodput, never a promise.
+ * Membership table of one host, and the neighbours with which it exchanges
+ * heartbeats. The neighbours form a ring of fixed degree, so that the cost per
+ * host does not grow with the number of hosts. Wrong states cost goodput only.
  */
 import {hashText} from '@gatehead/schema/hash-text';
 import {type MemberRecord, type MemberState} from '@gatehead/schema/peer-message';
 import {rankFirst} from './rendezvous.js';
 
-/** Neighbours after oneself on the ring; a chord across it is added. */
-const successors = 2;
+/** Number of ring successors among the neighbours; one chord across the ring is added. */
+const successorCount = 2;
 
 const severity: Record<MemberState, number> = {
 	alive: 0, leaving: 1, suspect: 2, dead: 3,
@@ -16,25 +16,25 @@
 
 type Entry = {
 	record: MemberRecord;
-	/** Rises with each change here, so that a link sends only what is new to it. */
+	/** Local sequence number of the last change; a link sends only records that changed since its last message. */
 	sequence: number;
-	readonly ringPlace: number;
+	readonly ringPosition: number;
 };
 
-/** Whether `news` replaces `known`: by incarnation, then counter, then the worse state. */
-export function isNewer(news: MemberRecord, known: MemberRecord): boolean {
-	if (news.incarnation !== known.incarnation) {
-		return news.incarnation > known.incarnation;
+/** Whether `update` supersedes `known`: higher incarnation, then higher counter, then worse state. */
+export function isNewer(update: MemberRecord, known: MemberRecord): boolean {
+	if (update.incarnation !== known.incarnation) {
+		return update.incarnation > known.incarnation;
 	}
 
-	if (news.counter !== known.counter) {
-		return news.counter > known.counter;
+	if (update.counter !== known.counter) {
+		return update.counter > known.counter;
 	}
 
-	return severity[news.state] > severity[known.state];
+	return severity[update.state] > severity[known.state];
 }
 
-/** The table of hosts of one process. */
+/** Membership table of one process. */
 export class Members {
 	readonly #entries = new Map<string, Entry>();
 	readonly #selfName: string;
@@ -45,32 +45,29 @@
 		this.#put(self);
 	}
 
-	/** This host's own record. */
 	get self(): MemberRecord {
 		const entry = this.#entries.get(this.#selfName);
 		if (entry === undefined) {
-			throw new RangeError('A host always knows itself.');
+			throw new RangeError('The record of this host is missing from the membership table.');
 		}
 
 		return entry.record;
 	}
 
-	/** Sequence number of the newest change. */
+	/** Sequence number of the last change. */
 	get sequence(): number {
 		return this.#sequence;
 	}
 
-	/** What is known of a host. */
 	recordOf(host: string): MemberRecord | undefined {
 		return this.#entries.get(host)?.record;
 	}
 
-	/** All known hosts. */
 	list(): MemberRecord[] {
 		return [...this.#entries.values()].map(each => each.record);
 	}
 
-	/** Hosts that can be asked for something: neither suspect nor dead. */
+	/** Hosts that are neither suspect nor dead, including this one. */
 	listReachable(): MemberRecord[] {
 		return this.list().filter(({state}) => state === 'alive' || state === 'leaving');
 	}
@@ -87,31 +84,31 @@
 		return changed;
 	}
 
-	/** Changes this host's own record under a higher counter. */
+	/** Changes this host's record and increments its counter. */
 	updateSelf(change: Partial<Pick<MemberRecord, 'state' | 'load' | 'callerAddress' | 'peerAddress' | 'adminAddress' | 'directory'>>): void {
 		this.#put({...this.self, ...change, counter: this.self.counter + 1});
 	}
 
 	/**
-	 * Takes in news; returns the record where it changed anything. News that
-	 * this host itself is suspect or dead is refuted with a higher counter.
+	 * Merges an update from another host; returns it if it changed the table.
+	 * Refutes an update that marks this host as suspect or dead with a higher counter.
 	 */
-	merge(news: MemberRecord): MemberRecord | undefined {
-		if (news.host === this.#selfName) {
-			this.#refute(news);
+	merge(update: MemberRecord): MemberRecord | undefined {
+		if (update.host === this.#selfName) {
+			this.#refute(update);
 			return undefined;
 		}
 
-		const known = this.#entries.get(news.host);
-		if (known !== undefined && !isNewer(news, known.record)) {
+		const known = this.#entries.get(update.host);
+		if (known !== undefined && !isNewer(update, known.record)) {
 			return undefined;
 		}
 
-		this.#put(news);
-		return news;
+		this.#put(update);
+		return update;
 	}
 
-	/** Forgets a host that is gone for good. */
+	/** Removes a host that has permanently left. */
 	forget(host: string): void {
 		if (host !== this.#selfName) {
 			this.#entries.delete(host);
@@ -119,48 +116,48 @@
 		}
 	}
 
-	/** Changes what is thought of a host; returns the record where that is news. */
+	/** Marks another host as suspect or dead; returns the new record, or undefined if the host is unknown or its state is as bad or worse. */
 	judge(host: string, state: 'suspect' | 'dead'): MemberRecord | undefined {
 		const known = this.recordOf(host);
 		if (known === undefined || host === this.#selfName || severity[known.state] >= severity[state]) {
 			return undefined;
 		}
 
-		const judged = {...known, state};
-		this.#put(judged);
-		return judged;
+		const marked = {...known, state};
+		this.#put(marked);
+		return marked;
 	}
 
-	/** Hosts to exchange heartbeats with: the next two on the ring, and one in another hall by hash, which lets news cross the ring. */
+	/** Hosts to exchange heartbeats with: the ring successors, and a chord to a host chosen by hash, preferably in another hall, which shortens the path of updates around the ring. */
 	neighbours(): string[] {
 		const others = this.listReachable().filter(each => each.host !== this.#selfName);
-		const own = this.#placeOf(this.#selfName);
+		const own = this.#positionOf(this.#selfName);
 		const ordered = others.toSorted((left, right) => this.#distance(own, left.host) - this.#distance(own, right.host));
-		const chosen = ordered.slice(0, successors);
-		const rest = ordered.slice(successors).map(each => ({host: each.host, isFar: each.hall !== this.self.hall}));
+		const chosen = ordered.slice(0, successorCount);
+		const rest = ordered.slice(successorCount).map(each => ({host: each.host, isFar: each.hall !== this.self.hall}));
 		const far = rest.filter(each => each.isFar);
 		const chord = rankFirst(this.#selfName, (far.length > 0 ? far : rest).map(each => each.host));
 		return [...chosen.map(each => each.host), ...(chord === undefined ? [] : [chord])];
 	}
 
-	#refute(news: MemberRecord): void {
+	#refute(update: MemberRecord): void {
 		const {self} = this;
-		if (news.incarnation === self.incarnation && news.counter >= self.counter && severity[news.state] > severity[self.state]) {
-			this.#put({...self, counter: news.counter + 1});
+		if (update.incarnation === self.incarnation && update.counter >= self.counter && severity[update.state] > severity[self.state]) {
+			this.#put({...self, counter: update.counter + 1});
 		}
 	}
 
 	#distance(from: number, host: string): number {
-		const place = this.#placeOf(host);
-		return place > from ? place - from : place - from + (2 ** 32);
+		const position = this.#positionOf(host);
+		return position > from ? position - from : position - from + (2 ** 32);
 	}
 
-	#placeOf(host: string): number {
-		return this.#entries.get(host)?.ringPlace ?? hashText(host);
+	#positionOf(host: string): number {
+		return this.#entries.get(host)?.ringPosition ?? hashText(host);
 	}
 
 	#put(record: MemberRecord): void {
 		this.#sequence += 1;
-		this.#entries.set(record.host, {record, sequence: this.#sequence, ringPlace: this.#entries.get(record.host)?.ringPlace ?? hashText(record.host)});
+		this.#entries.set(record.host, {record, sequence: this.#sequence, ringPosition: this.#entries.get(record.host)?.ringPosition ?? hashText(record.host)});
 	}
 }
--- a/packages/policy/src/core/rendezvous.ts
+++ b/packages/policy/src/core/rendezvous.ts
@@ -1,18 +1,18 @@
 /**
- * Rendezvous hashing: every host ranks the same names in the same order, and
- * losing one name moves only what it had. Efficiency: two hosts that know
- * different members may disagree for a while.
+ * Rendezvous hashing: all hosts rank the same candidates in the same order, and
+ * removing a candidate moves only the keys that it owned. Hosts with different
+ * membership tables can disagree until the tables converge.
  */
 import {hashText} from '@gatehead/schema/hash-text';
 
-/** Orders candidates by their weight for `key`, heaviest first. */
+/** Returns the candidates in descending order of their weight for `key`. */
 export function rank(key: string, candidates: readonly string[]): string[] {
-	const weighed = candidates.map(name => ({name, weight: hashText(`${key}\n${name}`)}));
-	weighed.sort((left, right) => right.weight - left.weight || (left.name < right.name ? -1 : 1));
-	return weighed.map(each => each.name);
+	const weighted = candidates.map(name => ({name, weight: hashText(`${key}\n${name}`)}));
+	weighted.sort((left, right) => right.weight - left.weight || (left.name < right.name ? -1 : 1));
+	return weighted.map(each => each.name);
 }
 
-/** The heaviest candidate for `key`, or undefined where there is none. */
+/** Returns the candidate with the highest weight for `key`, or undefined if there are no candidates. */
 export function rankFirst(key: string, candidates: Iterable<string>): string | undefined {
 	let best: string | undefined;
 	let bestWeight = -1;
