--- a/packages/policy/src/scheduler/decode-pool.ts
+++ b/packages/policy/src/scheduler/decode-pool.ts
@@ -1,24 +1,24 @@
 /**
- * Decode slots of a cell as its keeper knows them: its own leases, streams
- * that it did not lease but an engine reports, and when slots will be free.
- * Efficiency: the engines themselves refuse what does not fit.
+ * The keeper's view of a cell's decode slots: slots leased by this keeper,
+ * other streams that the engines report, and a forecast of releases. The view
+ * may be out of date; the engines reject work that exceeds their slots.
  */
 import {type Engine} from '@gatehead/schema/bundle';
 import {type EngineReport} from '@gatehead/schema/engine-protocol';
-import {type AnswerLengths} from './answer-lengths.js';
+import {type OutputLengths} from './output-lengths.js';
 
-/** How long a stream that was given back may still stand in lagging reports, in milliseconds. */
-const reportEchoMs = 1500;
-const firstTokenMs = 30;
+/** How long delayed reports may still list a released stream, in milliseconds. */
+const staleReportMs = 1500;
+const initialTokenMs = 30;
 const forecastStepMs = 50;
-const longestForecastMs = 1000;
+const maxForecastMs = 1000;
 
 /** A decode slot in use. */
 export type SlotLease = {
 	readonly key: string;
 	readonly priority: number;
 	readonly maxTokens: number;
-	/** When tokens began to come, as far as known. */
+	/** When decoding started; until the start is known, when the slot was taken. */
 	startedAt: number;
 };
 
@@ -26,44 +26,43 @@
 	readonly engine: Engine;
 	readonly leases: Map<string, SlotLease>;
 	readonly released: Map<string, number>;
-	/** Streams that the engine reports and this keeper did not lease. */
-	foreign: number;
+	/** Number of reported streams that this keeper did not lease. */
+	unleased: number;
 	tokenMs: number;
 	isHealthy: boolean;
 };
 
-/** A lease's name as the engines report it. */
+/** Key of a lease; engines report streams by the same request and attempt. */
 export function leaseKey({request, attempt}: {readonly request: string; readonly attempt: number}): string {
 	return `${request} ${attempt}`;
 }
 
-/** Decode engines of a cell. */
 export class DecodePool {
 	readonly #isLeaving: (engine: Engine) => boolean;
 	readonly #engines = new Map<string, DecodeEngine>();
-	readonly #lengths: AnswerLengths;
+	readonly #lengths: OutputLengths;
 
-	constructor(engines: readonly Engine[], isLeaving: (engine: Engine) => boolean, lengths: AnswerLengths) {
+	constructor(engines: readonly Engine[], isLeaving: (engine: Engine) => boolean, lengths: OutputLengths) {
 		this.#isLeaving = isLeaving;
 		this.#lengths = lengths;
 		for (const engine of engines) {
 			this.#engines.set(engine.name, {
-				engine, leases: new Map(), released: new Map(), foreign: 0, tokenMs: firstTokenMs, isHealthy: false,
+				engine, leases: new Map(), released: new Map(), unleased: 0, tokenMs: initialTokenMs, isHealthy: false,
 			});
 		}
 	}
 
-	/** Slots that are free now at engines that take work. */
-	countFree(): number {
+	/** Number of free slots of engines that accept work. */
+	countFreeSlots(): number {
 		let free = 0;
 		for (const engine of this.#engines.values()) {
-			free += this.#freeOf(engine);
+			free += this.#freeSlotsOf(engine);
 		}
 
 		return free;
 	}
 
-	/** All slots of engines that take work. */
+	/** Number of slots of engines that accept work. */
 	countSlots(): number {
 		let slots = 0;
 		for (const {engine, isHealthy} of this.#engines.values()) {
@@ -73,7 +72,7 @@
 		return slots;
 	}
 
-	/** Mean and variance of the number of slots given back within `windowMs`. */
+	/** Mean and variance of the number of slots released within `windowMs`. */
 	forecast(now: number, windowMs: number): {readonly mean: number; readonly variance: number} {
 		let mean = 0;
 		let variance = 0;
@@ -83,24 +82,24 @@
 			}
 
 			for (const {priority, maxTokens, startedAt} of leases.values()) {
-				const chance = this.#lengths.chanceToEnd(priority, maxTokens, Math.max(0, now - startedAt) / tokenMs, windowMs / tokenMs);
-				mean += chance;
-				variance += chance * (1 - chance);
+				const probability = this.#lengths.endProbability(priority, maxTokens, Math.max(0, now - startedAt) / tokenMs, windowMs / tokenMs);
+				mean += probability;
+				variance += probability * (1 - probability);
 			}
 		}
 
 		return {mean, variance};
 	}
 
-	/** Time until `count` slots are expected to be free, in milliseconds; Infinity beyond what is forecast. */
-	expectFree(count: number, now: number): number {
-		const missing = count - this.countFree();
-		if (missing <= 0) {
+	/** Expected time until `count` slots are free, in milliseconds; Infinity beyond the forecast horizon. */
+	expectedWaitMs(count: number, now: number): number {
+		const deficit = count - this.countFreeSlots();
+		if (deficit <= 0) {
 			return 0;
 		}
 
-		for (let windowMs = forecastStepMs; windowMs <= longestForecastMs; windowMs += forecastStepMs) {
-			if (this.forecast(now, windowMs).mean >= missing) {
+		for (let windowMs = forecastStepMs; windowMs <= maxForecastMs; windowMs += forecastStepMs) {
+			if (this.forecast(now, windowMs).mean >= deficit) {
 				return windowMs;
 			}
 		}
@@ -108,66 +107,64 @@
 		return Number.POSITIVE_INFINITY;
 	}
 
-	/** Mean time that a slot is held by an answer of up to `maxTokens`. */
-	expectHoldMs(priority: number, maxTokens: number): number {
+	/** Expected time that a request holds a slot, in milliseconds, at the token interval of the slowest engine. */
+	expectedHoldMs(priority: number, maxTokens: number): number {
 		let tokenMs = 0;
 		for (const engine of this.#engines.values()) {
 			tokenMs = Math.max(tokenMs, engine.tokenMs);
 		}
 
-		return this.#lengths.expect(priority, maxTokens) * tokenMs;
+		return this.#lengths.expectedTokens(priority, maxTokens) * tokenMs;
 	}
 
-	/** The engine with most room, near `hall` first among equals, or undefined where no slot is free. */
-	choose(hall: string, adapter: string | undefined): string | undefined {
+	/** Selects the engine with the largest share of free slots, with a bonus of half a slot in `hall`; undefined if no suitable slot is free. */
+	selectEngine(hall: string, adapter: string | undefined): string | undefined {
 		let best: DecodeEngine | undefined;
-		let bestRoom = 0;
+		let bestFreeShare = 0;
 		for (const each of this.#engines.values()) {
 			const {engine} = each;
-			if (this.#freeOf(each) < 1 || (adapter !== undefined && !engine.adapters.includes(adapter))) {
+			if (this.#freeSlotsOf(each) < 1 || (adapter !== undefined && !engine.adapters.includes(adapter))) {
 				continue;
 			}
 
-			const room = (this.#freeOf(each) / engine.slots) + (engine.hall === hall ? 1 / (2 * engine.slots) : 0);
-			if (room > bestRoom) {
+			const freeShare = (this.#freeSlotsOf(each) / engine.slots) + (engine.hall === hall ? 1 / (2 * engine.slots) : 0);
+			if (freeShare > bestFreeShare) {
 				best = each;
-				bestRoom = room;
+				bestFreeShare = freeShare;
 			}
 		}
 
 		return best?.engine.name;
 	}
 
-	/** Takes a slot. */
-	take(engine: string, lease: SlotLease): void {
+	reserveSlot(engine: string, lease: SlotLease): void {
 		this.#engines.get(engine)?.leases.set(lease.key, lease);
 	}
 
-	/** Notes when tokens began. */
-	start(engine: string, key: string, now: number): void {
+	/** Records when decoding started. */
+	markStarted(engine: string, key: string, now: number): void {
 		const lease = this.#engines.get(engine)?.leases.get(key);
 		if (lease !== undefined) {
 			lease.startedAt = now;
 		}
 	}
 
-	/** Gives a slot back. */
-	giveBack(engine: string, key: string, now: number): void {
-		const held = this.#engines.get(engine);
-		if (held?.leases.delete(key)) {
-			held.released.set(key, now);
+	releaseSlot(engine: string, key: string, now: number): void {
+		const holder = this.#engines.get(engine);
+		if (holder?.leases.delete(key)) {
+			holder.released.set(key, now);
 		}
 	}
 
-	/** Holds an engine to be full until its next report, because it said so. */
-	fill(engine: string): void {
+	/** Treats an engine as full until its next report, after it rejected work. */
+	markFull(engine: string): void {
 		const full = this.#engines.get(engine);
 		if (full !== undefined) {
-			full.foreign = Math.max(full.foreign, full.engine.slots - full.leases.size);
+			full.unleased = Math.max(full.unleased, full.engine.slots - full.leases.size);
 		}
 	}
 
-	/** Takes an engine's report; what it holds beyond this keeper's leases shrinks the room here. */
+	/** Updates an engine from its report; streams that this keeper did not lease reduce the free slots. */
 	report({name, streams, tokenMs, role}: EngineReport, now: number): void {
 		const reported = this.#engines.get(name);
 		if (reported === undefined) {
@@ -177,32 +174,32 @@
 		reported.isHealthy = role === 'decode';
 		reported.tokenMs = tokenMs;
 		for (const [key, at] of reported.released) {
-			if (now - at > reportEchoMs) {
+			if (now - at > staleReportMs) {
 				reported.released.delete(key);
 			}
 		}
 
-		reported.foreign = streams.filter(each => !reported.leases.has(leaseKey(each)) && !reported.released.has(leaseKey(each))).length;
+		reported.unleased = streams.filter(each => !reported.leases.has(leaseKey(each)) && !reported.released.has(leaseKey(each))).length;
 	}
 
-	/** Notes that an engine does not answer; returns whether that is news. */
-	lose(engine: string): boolean {
-		const lost = this.#engines.get(engine);
-		const isNews = lost?.isHealthy ?? false;
-		if (lost !== undefined) {
-			lost.isHealthy = false;
+	/** Marks an unresponsive engine as unhealthy; returns whether it was healthy before. */
+	markUnhealthy(engine: string): boolean {
+		const engineState = this.#engines.get(engine);
+		const wasHealthy = engineState?.isHealthy ?? false;
+		if (engineState !== undefined) {
+			engineState.isHealthy = false;
 		}
 
-		return isNews;
+		return wasHealthy;
 	}
 
-	/** Load from 0 to 1. */
+	/** Share of slots in use, from 0 to 1; 1 if no engine accepts work. */
 	get load(): number {
 		const slots = this.countSlots();
-		return slots === 0 ? 1 : 1 - (Math.max(0, this.countFree()) / slots);
+		return slots === 0 ? 1 : 1 - (Math.max(0, this.countFreeSlots()) / slots);
 	}
 
-	#freeOf({engine, leases, foreign, isHealthy}: DecodeEngine): number {
-		return isHealthy && !this.#isLeaving(engine) ? engine.slots - leases.size - foreign : 0;
+	#freeSlotsOf({engine, leases, unleased, isHealthy}: DecodeEngine): number {
+		return isHealthy && !this.#isLeaving(engine) ? engine.slots - leases.size - unleased : 0;
 	}
 }
--- a/packages/policy/src/scheduler/prefill-pool.ts
+++ b/packages/policy/src/scheduler/prefill-pool.ts
@@ -1,45 +1,44 @@
 /**
- * Prefill engines of a cell as its keeper knows them: when a place will be
- * free, how long a prompt will take with what its cache seems to hold, how
- * long its result will be on the link. Efficiency only.
+ * The keeper's view of a cell's prefill engines: when a slot will be free, how
+ * long a prompt takes given the blocks that the engine has cached, and how
+ * long the transfer of its KV cache takes.
  */
 import {type Engine} from '@gatehead/schema/bundle';
 import {type CacheEvent, type EngineReport} from '@gatehead/schema/engine-protocol';
 import {type LeaseAsk} from '@gatehead/schema/peer-message';
 import {blockTokens} from '@gatehead/schema/prompt-blocks';
 
-const startMs = 4;
+const baseCostMs = 4;
 const millisecondsPerSecond = 1000;
-const learnShare = 0.1;
-const mostHints = 4096;
-/** A place is given out this long before it is free, so that no message's way is lost. */
+const smoothingFactor = 0.1;
+const maxCachedBlocks = 4096;
+/** A slot can be assigned this long before it is free, to hide the latency of the order. */
 const lookaheadMs = 15;
 
 type PrefillEngine = {
 	readonly engine: Engine;
-	/** When each place will be free. */
-	readonly places: number[];
-	readonly jobs: Map<string, {readonly place: number; readonly costMs: number; readonly grantedAt: number}>;
-	/** Blocks that the engine seems to cache. */
-	readonly hints: Set<string>;
-	/** Observed over expected time of a prefill. */
-	slowness: number;
+	/** When each slot will be free, by slot index. */
+	readonly slotsFreeAt: number[];
+	readonly jobs: Map<string, {readonly slot: number; readonly costMs: number; readonly grantedAt: number}>;
+	/** Blocks that the engine is believed to have cached. */
+	readonly cachedBlocks: Set<string>;
+	/** Moving average of the ratio of observed to expected prefill time. */
+	slowdown: number;
 	isHealthy: boolean;
 };
 
-/** A possible prefill. */
-export type PrefillOffer = {
+/** Expected timing of a prefill at one engine. */
+export type PrefillEstimate = {
 	readonly engine: string;
 	readonly hall: string;
-	/** When the result will be made. */
+	/** When the prefill is expected to finish. */
 	readonly readyAt: number;
 	readonly costMs: number;
 	readonly transferMs: number;
-	/** Whether a place is free, or will be before a message could arrive. */
-	readonly isDue: boolean;
+	/** Whether a slot is free, or will be within `lookaheadMs`. */
+	readonly isSlotAvailable: boolean;
 };
 
-/** Prefill engines of a cell. */
 export class PrefillPool {
 	readonly #isLeaving: (engine: Engine) => boolean;
 	readonly #engines = new Map<string, PrefillEngine>();
@@ -50,47 +49,47 @@
 		this.#kvBytesPerToken = kvBytesPerToken;
 		for (const engine of engines) {
 			this.#engines.set(engine.name, {
-				engine, places: Array.from({length: engine.slots}, () => 0), jobs: new Map(), hints: new Set(), slowness: 1, isHealthy: false,
+				engine, slotsFreeAt: Array.from({length: engine.slots}, () => 0), jobs: new Map(), cachedBlocks: new Set(), slowdown: 1, isHealthy: false,
 			});
 		}
 	}
 
-	/** The engine that would have the result first; undefined where none takes work. */
-	offer(ask: LeaseAsk, now: number): PrefillOffer | undefined {
-		let best: PrefillOffer | undefined;
+	/** Estimate for the engine whose result would be transferred first; undefined if no suitable engine accepts work. */
+	estimateBest(ask: LeaseAsk, now: number): PrefillEstimate | undefined {
+		let best: PrefillEstimate | undefined;
 		for (const each of this.#engines.values()) {
 			if (!each.isHealthy || this.#isLeaving(each.engine) || (ask.adapter !== undefined && !each.engine.adapters.includes(ask.adapter))) {
 				continue;
 			}
 
-			const offer = this.#price(each, ask, now);
-			if (best === undefined || offer.readyAt + offer.transferMs < best.readyAt + best.transferMs) {
-				best = offer;
+			const estimate = this.#estimate(each, ask, now);
+			if (best === undefined || estimate.readyAt + estimate.transferMs < best.readyAt + best.transferMs) {
+				best = estimate;
 			}
 		}
 
 		return best;
 	}
 
-	/** How long an engine keeps a result. */
-	holdMsOf(name: string): number {
+	/** How long an engine keeps a prefill result, in milliseconds. */
+	resultHoldMsOf(name: string): number {
 		return this.#engines.get(name)?.engine.resultHoldMs ?? 0;
 	}
 
-	/** Gives a place to a lease. */
-	take({engine: name, readyAt, costMs}: PrefillOffer, key: string, now: number): void {
+	/** Reserves a slot for a lease. */
+	reserveSlot({engine: name, readyAt, costMs}: PrefillEstimate, key: string, now: number): void {
 		const taken = this.#engines.get(name);
 		if (taken === undefined) {
 			return;
 		}
 
-		const place = firstFree(taken.places);
-		taken.places[place] = readyAt;
-		taken.jobs.set(key, {place, costMs, grantedAt: now});
+		const slot = firstFreeSlot(taken.slotsFreeAt);
+		taken.slotsFreeAt[slot] = readyAt;
+		taken.jobs.set(key, {slot, costMs, grantedAt: now});
 	}
 
-	/** Notes the end of a prefill and what the engine now caches. */
-	end(name: string, key: string, blocks: readonly string[], now: number): void {
+	/** Records a finished prefill and the blocks that the engine now caches. */
+	complete(name: string, key: string, blocks: readonly string[], now: number): void {
 		const ended = this.#engines.get(name);
 		const job = ended?.jobs.get(key);
 		if (ended === undefined || job === undefined) {
@@ -98,85 +97,85 @@
 		}
 
 		ended.jobs.delete(key);
-		const hasNext = [...ended.jobs.values()].some(each => each.place === job.place);
+		const hasNext = [...ended.jobs.values()].some(each => each.slot === job.slot);
 		if (!hasNext) {
-			ended.places[job.place] = now;
+			ended.slotsFreeAt[job.slot] = now;
 		}
 
 		const startedAt = job.grantedAt;
 		const observed = (now - startedAt) / Math.max(1, job.costMs);
-		ended.slowness += learnShare * (Math.min(4, Math.max(0.5, observed)) - ended.slowness);
-		this.#hint(ended, blocks);
+		ended.slowdown += smoothingFactor * (Math.min(4, Math.max(0.5, observed)) - ended.slowdown);
+		this.#recordCached(ended, blocks);
 	}
 
-	/** Gives back a place whose prefill did not happen. */
-	giveBack(name: string, key: string, now: number): void {
+	/** Releases the slot of a prefill that did not finish. */
+	releaseSlot(name: string, key: string, now: number): void {
 		const engine = this.#engines.get(name);
 		const job = engine?.jobs.get(key);
 		if (engine !== undefined && job !== undefined) {
 			engine.jobs.delete(key);
-			engine.places[job.place] = Math.min(engine.places[job.place] ?? 0, now);
+			engine.slotsFreeAt[job.slot] = Math.min(engine.slotsFreeAt[job.slot] ?? 0, now);
 		}
 	}
 
-	/** Takes an engine's report. */
+	/** Updates an engine's role and cached blocks from its report. */
 	report({name, role, cacheEvents}: EngineReport): void {
 		const reported = this.#engines.get(name);
 		if (reported !== undefined) {
 			reported.isHealthy = role === 'prefill';
-			applyEvents(reported.hints, cacheEvents);
+			applyCacheEvents(reported.cachedBlocks, cacheEvents);
 		}
 	}
 
-	/** Notes that an engine does not answer; returns whether that is news. */
-	lose(name: string): boolean {
-		const lost = this.#engines.get(name);
-		const isNews = lost?.isHealthy ?? false;
-		if (lost !== undefined) {
-			lost.isHealthy = false;
-			lost.jobs.clear();
-			lost.places.fill(0);
+	/** Marks an unresponsive engine as unhealthy and clears its jobs; returns whether it was healthy before. */
+	markUnhealthy(name: string): boolean {
+		const engineState = this.#engines.get(name);
+		const wasHealthy = engineState?.isHealthy ?? false;
+		if (engineState !== undefined) {
+			engineState.isHealthy = false;
+			engineState.jobs.clear();
+			engineState.slotsFreeAt.fill(0);
 		}
 
-		return isNews;
+		return wasHealthy;
 	}
 
-	#price({engine, places, hints, slowness}: PrefillEngine, {promptTokens, blocks}: LeaseAsk, now: number): PrefillOffer {
+	#estimate({engine, slotsFreeAt, cachedBlocks, slowdown}: PrefillEngine, {promptTokens, blocks}: LeaseAsk, now: number): PrefillEstimate {
 		let cachedTokens = 0;
 		for (const block of blocks) {
-			if (!hints.has(block)) {
+			if (!cachedBlocks.has(block)) {
 				break;
 			}
 
 			cachedTokens += blockTokens;
 		}
 
-		const work = startMs + (Math.max(1, promptTokens - cachedTokens) * millisecondsPerSecond / engine.prefillTokensPerSecond);
-		const freeAt = places[firstFree(places)] ?? 0;
+		const costMs = baseCostMs + (Math.max(1, promptTokens - cachedTokens) * millisecondsPerSecond / engine.prefillTokensPerSecond);
+		const freeAt = slotsFreeAt[firstFreeSlot(slotsFreeAt)] ?? 0;
 		return {
 			engine: engine.name,
 			hall: engine.hall,
-			readyAt: Math.max(now, freeAt) + (work * slowness),
-			costMs: work,
+			readyAt: Math.max(now, freeAt) + (costMs * slowdown),
+			costMs,
 			transferMs: promptTokens * this.#kvBytesPerToken * millisecondsPerSecond / engine.linkBytesPerSecond,
-			isDue: freeAt - now <= lookaheadMs,
+			isSlotAvailable: freeAt - now <= lookaheadMs,
 		};
 	}
 
-	#hint({hints}: PrefillEngine, blocks: readonly string[]): void {
+	#recordCached({cachedBlocks}: PrefillEngine, blocks: readonly string[]): void {
 		for (const block of blocks) {
-			hints.delete(block);
-			hints.add(block);
+			cachedBlocks.delete(block);
+			cachedBlocks.add(block);
 		}
 
-		trim(hints);
+		evictOldest(cachedBlocks);
 	}
 }
 
-function firstFree(places: readonly number[]): number {
+function firstFreeSlot(slotsFreeAt: readonly number[]): number {
 	let first = 0;
-	for (const [index, freeAt] of places.entries()) {
-		if (freeAt < (places[first] ?? 0)) {
+	for (const [index, freeAt] of slotsFreeAt.entries()) {
+		if (freeAt < (slotsFreeAt[first] ?? 0)) {
 			first = index;
 		}
 	}
@@ -184,24 +183,24 @@
 	return first;
 }
 
-function applyEvents(hints: Set<string>, events: readonly CacheEvent[]): void {
+function applyCacheEvents(cachedBlocks: Set<string>, events: readonly CacheEvent[]): void {
 	for (const {kind, block} of events) {
 		if (kind === 'stored') {
-			hints.add(block);
+			cachedBlocks.add(block);
 		} else {
-			hints.delete(block);
+			cachedBlocks.delete(block);
 		}
 	}
 
-	trim(hints);
+	evictOldest(cachedBlocks);
 }
 
-function trim(hints: Set<string>): void {
-	for (const block of hints) {
-		if (hints.size <= mostHints) {
+function evictOldest(cachedBlocks: Set<string>): void {
+	for (const block of cachedBlocks) {
+		if (cachedBlocks.size <= maxCachedBlocks) {
 			return;
 		}
 
-		hints.delete(block);
+		cachedBlocks.delete(block);
 	}
 }
--- a/packages/policy/src/scheduler/risk.ts
+++ b/packages/policy/src/scheduler/risk.ts
@@ -1,19 +1,15 @@
-/**
- * The one risk knob: how sure a slot must be before a prefill starts for it. Set by the bundle's objective, by measurement.
- * Efficiency only.
- */
+/** How likely a decode slot must be before a prefill starts, by the bundle's objective. */
 import {type Objective} from '@gatehead/schema/bundle';
 
-/** How early to start. */
 export type Risk = {
-	/** Standard deviations below the mean of the forecast that are counted on. */
-	readonly caution: number;
-	/** Share of a result's life that it may wait for its slot. */
-	readonly patience: number;
+	/** Standard deviations subtracted from the mean number of forecast releases. */
+	readonly safetyDeviations: number;
+	/** Share of its hold time that a prefill result may wait for a decode slot, from 0 to 1. */
+	readonly waitShare: number;
 };
 
-/** The tour services buy goodput with risk; the consortium refuses waste. */
-export const risks: Record<Objective, Risk> = {
-	goodput: {caution: 0, patience: 0},
-	wastedPrefill: {caution: 0.5, patience: 0},
+/** `goodput` starts prefills on the mean forecast; `wastedPrefill` keeps a margin to avoid results that expire unused. */
+export const riskByObjective: Record<Objective, Risk> = {
+	goodput: {safetyDeviations: 0, waitShare: 0},
+	wastedPrefill: {safetyDeviations: 0.5, waitShare: 0},
 };
--- a/packages/policy/src/scheduler/scheduler.ts
+++ b/packages/policy/src/scheduler/scheduler.ts
@@ -1,115 +1,114 @@
 /**
- * Decisions of one cell's keeper: whose turn it is, at which prefill engine,
- * when, and at which decode engine. Decode first: a prefill starts only when
- * a decode slot is free or surely will be while its result lives.
- * Efficiency: a wrong decision costs goodput or waste, never a promise.
+ * Scheduler of one cell: orders waiting requests and assigns prefill and decode
+ * engines. A prefill starts only when a decode slot is free or forecast to be
+ * free in time for its result. Wrong decisions cost goodput or wasted
+ * prefills; the engines enforce their own limits.
  */
 import {type Engine, type Objective} from '@gatehead/schema/bundle';
 import {type EngineReport} from '@gatehead/schema/engine-protocol';
 import {type LeaseAsk, type LeaseClaim} from '@gatehead/schema/peer-message';
 import {type Random} from '../utils/random.js';
-import {AnswerLengths} from './answer-lengths.js';
+import {OutputLengths} from './output-lengths.js';
 import {DecodePool, leaseKey} from './decode-pool.js';
-import {LeaseBook, makeClaimed} from './lease-book.js';
-import {PrefillPool, type PrefillOffer} from './prefill-pool.js';
-import {Pressure} from './pressure.js';
-import {risks, type Risk} from './risk.js';
-import {SlotOutlook} from './slot-outlook.js';
-import {WaitingLine, type Waiting} from './waiting-line.js';
-
-/** One decode step and the way of the messages, in milliseconds. */
+import {LeaseTable, leaseFromClaim} from './lease-table.js';
+import {PrefillPool, type PrefillEstimate} from './prefill-pool.js';
+import {RefusalBackoff} from './refusal-backoff.js';
+import {riskByObjective, type Risk} from './risk.js';
+import {SlotForecast} from './slot-forecast.js';
+import {WaitingQueue, type QueuedRequest} from './waiting-queue.js';
+
+/** Allowance for the first decode step and message latency, in milliseconds. */
 const firstStepMs = 35;
-/** A newcomer is refused at once when the work ahead would take this share of its slack or more. */
-const hopelessFactor = 0.7;
-/** Share of a request's slack that is kept as a margin against a late slot. */
-const edgeShare = 0.02;
-const comeBackMs = 1000;
-/** How long a request waits for any engine at all, as while a new keeper has no reports yet. */
-const downMs = 1500;
-
-/** What the scheduler decides. */
+/** A new request is refused on arrival if the queued work ahead would take more than this share of its slack. */
+const maxWaitShare = 0.7;
+/** Share of a request's slack reserved as a margin for a late slot. */
+const marginShare = 0.02;
+/** Assumed hold time of a prefill result whose lease was taken over from another keeper. */
+const claimedResultHoldMs = 1000;
+/** How long a request waits while no engine is usable, for example until a new keeper has received reports. */
+const noEngineTimeoutMs = 1500;
+
+/** A decision about one request: a grant of a prefill or decode engine, or a refusal. */
 export type Decision
 	= | {readonly kind: 'prefill'; readonly request: string; readonly attempt: number; readonly engine: string}
 		| {readonly kind: 'decode'; readonly request: string; readonly attempt: number; readonly engine: string}
 		| {readonly kind: 'refuse'; readonly request: string; readonly attempt: number; readonly code: 'overloaded' | 'shareExceeded' | 'endpointsDown'; readonly retryAfterMs: number};
 
-/** What a scheduler is made from. */
-export type SchedulerParts = {
+export type SchedulerOptions = {
 	readonly engines: readonly Engine[];
 	readonly kvBytesPerToken: number;
 	readonly objective: Objective;
 	readonly random: Random;
 	readonly shareOf: (caller: string) => number | undefined;
-	/** Most requests in work at once of a caller in this cell; undefined: no limit. */
+	/** Maximum number of concurrent leases of a caller in this cell; undefined for no limit. */
 	readonly limitOf: (caller: string) => number | undefined;
-	/** Whether an engine is leaving: it gets no new work. */
+	/** Whether an engine is leaving and gets no new work. */
 	readonly isLeaving: (engine: Engine) => boolean;
 };
 
-/** One cell's decisions. */
 export class Scheduler {
 	readonly #decode: DecodePool;
 	readonly #prefill: PrefillPool;
-	readonly #line: WaitingLine;
-	readonly #lengths = new AnswerLengths();
-	readonly #pressure = new Pressure();
+	readonly #queue: WaitingQueue;
+	readonly #lengths = new OutputLengths();
+	readonly #refusalBackoff = new RefusalBackoff();
 	readonly #risk: Risk;
 	readonly #random: Random;
 	readonly #limitOf: (caller: string) => number | undefined;
-	readonly #leases = new LeaseBook();
-	readonly #early: Decision[] = [];
+	readonly #leases = new LeaseTable();
+	readonly #pendingRefusals: Decision[] = [];
 
-	constructor({engines, kvBytesPerToken, objective, random, shareOf, limitOf, isLeaving}: SchedulerParts) {
+	constructor({engines, kvBytesPerToken, objective, random, shareOf, limitOf, isLeaving}: SchedulerOptions) {
 		this.#decode = new DecodePool(engines.filter(each => each.role === 'decode'), isLeaving, this.#lengths);
 		this.#prefill = new PrefillPool(engines.filter(each => each.role === 'prefill'), isLeaving, kvBytesPerToken);
-		this.#line = new WaitingLine(shareOf);
-		this.#risk = risks[objective];
+		this.#queue = new WaitingQueue(shareOf);
+		this.#risk = riskByObjective[objective];
 		this.#random = random;
 		this.#limitOf = limitOf;
 	}
 
-	/** Whether anything waits for a decision. */
+	/** Whether any request or lease waits for a decision. */
 	get isBusy(): boolean {
-		return this.#line.size > 0 || this.#early.length > 0 || this.#leases.hasWaiting;
+		return this.#queue.size > 0 || this.#pendingRefusals.length > 0 || this.#leases.hasPending;
 	}
 
-	/** Load from 0 to 1. */
+	/** Share of decode slots in use, from 0 to 1. */
 	get load(): number {
 		return this.#decode.load;
 	}
 
-	/** Numbers for operators. */
+	/** Current counts, for operators. */
 	describe(): {readonly waiting: number; readonly leases: number; readonly slots: number; readonly free: number} {
 		return {
-			waiting: this.#line.size, leases: this.#leases.size, slots: this.#decode.countSlots(), free: this.#decode.countFree(),
+			waiting: this.#queue.size, leases: this.#leases.size, slots: this.#decode.countSlots(), free: this.#decode.countFreeSlots(),
 		};
 	}
 
-	/** Takes a request into the line; one that was asked before keeps its place. */
+	/** Queues a request. A repeated ask keeps the deadline and waiting time of the first and is never refused on arrival. */
 	ask(ask: LeaseAsk, now: number): void {
 		const key = leaseKey(ask);
 		if (this.#leases.has(key)) {
 			return;
 		}
 
-		const known = this.#line.remove(key);
-		const waiting: Waiting = {
-			ask, key, deadline: known?.deadline ?? now + ask.slackMs, since: known?.since ?? now, holdMs: this.#decode.expectHoldMs(ask.priority, ask.maxTokens),
+		const known = this.#queue.remove(key);
+		const waiting: QueuedRequest = {
+			ask, key, deadline: known?.deadline ?? now + ask.slackMs, since: known?.since ?? now, holdMs: this.#decode.expectedHoldMs(ask.priority, ask.maxTokens),
 		};
 		const code = known === undefined ? this.#findRefusal(waiting, now) : undefined;
 		if (code === undefined) {
-			this.#line.add(waiting);
+			this.#queue.add(waiting);
 		} else {
 			this.#refuse(waiting, code, now);
 		}
 	}
 
-	/** Takes a request out of the line. */
+	/** Removes a request from the queue. */
 	withdraw(key: string): void {
-		this.#line.remove(key);
+		this.#queue.remove(key);
 	}
 
-	/** Notes that a result is made and lives for `holdMs`. */
+	/** Records that a prefill finished; its result expires after `holdMs`. */
 	prefilled(key: string, holdMs: number, now: number): void {
 		const lease = this.#leases.get(key);
 		if (lease?.stage !== 'prefill') {
@@ -118,19 +117,19 @@
 
 		lease.stage = 'ready';
 		lease.readyAt = now;
-		lease.lapsesAt = now + holdMs;
-		this.#prefill.end(lease.prefillEngine, key, lease.ask.blocks, now);
+		lease.resultExpiresAt = now + holdMs;
+		this.#prefill.complete(lease.prefillEngine, key, lease.ask.blocks, now);
 	}
 
-	/** Notes that an import is whole. */
+	/** Records that the decode engine has imported the KV cache. */
 	started(key: string, now: number): void {
 		const lease = this.#leases.get(key);
 		if (lease !== undefined) {
-			this.#decode.start(lease.engine, key, now);
+			this.#decode.markStarted(lease.engine, key, now);
 		}
 	}
 
-	/** Notes that an engine did not take the work; `isLost` where it seems to be gone. */
+	/** Records that a decode engine rejected the work, or with `isLost` that it is unreachable. */
 	bounced(key: string, engine: string, isLost: boolean, now: number): void {
 		const lease = this.#leases.get(key);
 		if (isLost) {
@@ -141,23 +140,23 @@
 			return;
 		}
 
-		this.#decode.giveBack(engine, key, now);
-		this.#decode.fill(engine);
+		this.#decode.releaseSlot(engine, key, now);
+		this.#decode.markFull(engine);
 		lease.stage = 'ready';
 	}
 
-	/** Ends a lease. `tokens` is 0 where nothing can be learned from its length. */
+	/** Ends a lease, or removes a request that has none from the queue. `tokens` is the output length, or 0 if it must not be recorded. */
 	release(key: string, tokens: number, now: number): void {
 		const lease = this.#leases.remove(key);
 		if (lease === undefined) {
-			this.#line.remove(key);
+			this.#queue.remove(key);
 			return;
 		}
 
-		this.#prefill.giveBack(lease.prefillEngine, key, now);
-		this.#decode.giveBack(lease.engine, key, now);
+		this.#prefill.releaseSlot(lease.prefillEngine, key, now);
+		this.#decode.releaseSlot(lease.engine, key, now);
 		if (lease.stage === 'decode' && tokens > 0) {
-			this.#lengths.learn(lease.ask.priority, tokens, lease.ask.maxTokens);
+			this.#lengths.observe(lease.ask.priority, tokens, lease.ask.maxTokens);
 		}
 	}
 
@@ -169,16 +168,16 @@
 		}
 
 		const {stage, engine, maxTokens, priority} = claim;
-		this.#line.remove(key);
-		this.#leases.add(makeClaimed(claim, now, now + comeBackMs));
+		this.#queue.remove(key);
+		this.#leases.add(leaseFromClaim(claim, now, now + claimedResultHoldMs));
 		if (stage === 'decode') {
-			this.#decode.take(engine, {
+			this.#decode.reserveSlot(engine, {
 				key, priority, maxTokens, startedAt: now,
 			});
 		}
 	}
 
-	/** The grant that a lease stands for, to be said again where it got lost; undefined where there is none yet. */
+	/** Current grant of a lease, to resend if the message was lost; undefined if there is none. */
 	findGrant(key: string): Decision | undefined {
 		const lease = this.#leases.get(key);
 		if (lease === undefined || lease.stage === 'ready') {
@@ -195,40 +194,40 @@
 			};
 	}
 
-	/** Keys of all leases, for comparison with what their holders claim. */
+	/** Keys of all leases, for comparison with the holders' claims. */
 	listLeases(): string[] {
 		return this.#leases.listKeys();
 	}
 
-	/** Takes an engine's report. */
+	/** Updates an engine's state from its report. */
 	report(report: EngineReport, now: number): void {
 		this.#decode.report(report, now);
 		this.#prefill.report(report);
 	}
 
-	/** Notes that an engine does not answer; returns whether that is news. */
+	/** Marks an unresponsive engine as unhealthy; returns whether it was healthy before. */
 	lose(engine: string): boolean {
-		const isDecodeNews = this.#decode.lose(engine);
-		return this.#prefill.lose(engine) || isDecodeNews;
+		const wasHealthyDecode = this.#decode.markUnhealthy(engine);
+		return this.#prefill.markUnhealthy(engine) || wasHealthyDecode;
 	}
 
-	/** Decides all that can be decided now. */
+	/** Makes all decisions that are possible at `now`. */
 	decide(now: number): Decision[] {
-		const decisions = this.#early.splice(0);
-		this.#refuseLate(now, decisions);
-		this.#giveSlots(now, decisions);
+		const decisions = this.#pendingRefusals.splice(0);
+		this.#refuseUnservable(now, decisions);
+		this.#assignDecodeSlots(now, decisions);
 		this.#startPrefills(now, decisions);
 		return decisions;
 	}
 
-	#findRefusal({ask, deadline, holdMs}: Waiting, now: number): Extract<Decision, {kind: 'refuse'}>['code'] | undefined {
+	#findRefusal({ask, deadline, holdMs}: QueuedRequest, now: number): Extract<Decision, {kind: 'refuse'}>['code'] | undefined {
 		if (ask.accepted) {
 			return undefined;
 		}
 
 		const slots = this.#decode.countSlots();
 		const limit = this.#limitOf(ask.caller);
-		if (limit !== undefined && this.#leases.countInWork(ask.caller) >= limit) {
+		if (limit !== undefined && this.#leases.countActive(ask.caller) >= limit) {
 			return 'shareExceeded';
 		}
 
@@ -236,61 +235,60 @@
 			return undefined;
 		}
 
-		const waitMs = this.#line.workAhead(ask.priority, holdMs) / slots;
-		return waitMs > hopelessFactor * Math.max(0, deadline - now) ? 'overloaded' : undefined;
+		const waitMs = this.#queue.workAheadMs(ask.priority, holdMs) / slots;
+		return waitMs > maxWaitShare * Math.max(0, deadline - now) ? 'overloaded' : undefined;
 	}
 
-	#refuse({ask, key}: Waiting, code: Extract<Decision, {kind: 'refuse'}>['code'], now: number): void {
-		this.#line.remove(key);
-		this.#early.push({
-			kind: 'refuse', request: ask.request, attempt: ask.attempt, code, retryAfterMs: this.#pressure.refuse(now, this.#random),
+	#refuse({ask, key}: QueuedRequest, code: Extract<Decision, {kind: 'refuse'}>['code'], now: number): void {
+		this.#queue.remove(key);
+		this.#pendingRefusals.push({
+			kind: 'refuse', request: ask.request, attempt: ask.attempt, code, retryAfterMs: this.#refusalBackoff.recordRefusal(now, this.#random),
 		});
 	}
 
-	/** Refuses at once what can no longer have its first token in time. */
-	#refuseLate(now: number, decisions: Decision[]): void {
-		const late = this.#line.takeLate(waiting => this.#isHopeless(waiting, now));
-		for (const waiting of late) {
-			decisions.push(this.#refusalOf(waiting, now));
+	/** Refuses requests that can no longer be served in time. */
+	#refuseUnservable(now: number, decisions: Decision[]): void {
+		const unservable = this.#queue.removeWhere(waiting => this.#isUnservable(waiting, now));
+		for (const waiting of unservable) {
+			decisions.push(this.#makeRefusal(waiting, now));
 		}
 	}
 
-	/** Whether a request can have no first token in time, or no engine has been there for it for a while. */
-	#isHopeless({ask, deadline, since}: Waiting, now: number): boolean {
-		const offer = this.#prefill.offer(ask, now);
-		if (offer === undefined || this.#decode.countSlots() === 0) {
-			return now - since > downMs;
+	/** Whether a request would miss its deadline even with a free decode slot, or has waited too long for a usable engine. */
+	#isUnservable({ask, deadline, since}: QueuedRequest, now: number): boolean {
+		const estimate = this.#prefill.estimateBest(ask, now);
+		if (estimate === undefined || this.#decode.countSlots() === 0) {
+			return now - since > noEngineTimeoutMs;
 		}
 
-		return !ask.accepted && offer.readyAt + offer.transferMs + firstStepMs > deadline;
+		return !ask.accepted && estimate.readyAt + estimate.transferMs + firstStepMs > deadline;
 	}
 
-	#refusalOf({ask: {request, attempt}}: Waiting, now: number): Decision {
+	#makeRefusal({ask: {request, attempt}}: QueuedRequest, now: number): Decision {
 		return {
-			kind: 'refuse', request, attempt, code: this.#decode.countSlots() === 0 ? 'endpointsDown' : 'overloaded', retryAfterMs: this.#pressure.refuse(now, this.#random),
+			kind: 'refuse', request, attempt, code: this.#decode.countSlots() === 0 ? 'endpointsDown' : 'overloaded', retryAfterMs: this.#refusalBackoff.recordRefusal(now, this.#random),
 		};
 	}
 
-	/** Whether the slot that this request would get is expected too late for its first token. */
-	#isTooLate({ask, deadline, since}: Waiting, {readyAt, transferMs}: PrefillOffer, now: number): boolean {
+	/** Whether the request is expected to miss its deadline, given the forecast of decode slots. */
+	#wouldMissDeadline({ask, deadline, since}: QueuedRequest, {readyAt, transferMs}: PrefillEstimate, now: number): boolean {
 		if (ask.accepted) {
 			return false;
 		}
 
-		const slotAt = this.#look(now).expectSlotAt(readyAt);
-		const margin = edgeShare * (deadline - since);
+		const slotAt = this.#forecastSlots(now).expectedSlotAt(readyAt);
+		const margin = marginShare * (deadline - since);
 		return Math.max(readyAt, slotAt) + transferMs + firstStepMs + margin > deadline;
 	}
 
-	/** The slots to come, with all results that have none yet. */
-	#look(now: number): SlotOutlook {
-		return new SlotOutlook(this.#decode, this.#risk, this.#leases.listReadyTimes(), now);
+	#forecastSlots(now: number): SlotForecast {
+		return new SlotForecast(this.#decode, this.#risk, this.#leases.listReadyTimes(), now);
 	}
 
-	/** Gives free slots to results, those that were promised and the earliest deadlines first. */
-	#giveSlots(now: number, decisions: Decision[]): void {
+	/** Assigns free decode slots to finished prefills, in order of deadline. */
+	#assignDecodeSlots(now: number, decisions: Decision[]): void {
 		for (const lease of this.#leases.listReady(now)) {
-			const engine = this.#decode.choose(lease.hall, lease.ask.adapter);
+			const engine = this.#decode.selectEngine(lease.hall, lease.ask.adapter);
 			if (engine === undefined) {
 				return;
 			}
@@ -298,7 +296,7 @@
 			const {key, ask: {request, attempt, priority, maxTokens}} = lease;
 			lease.stage = 'decode';
 			lease.engine = engine;
-			this.#decode.take(engine, {
+			this.#decode.reserveSlot(engine, {
 				key, priority, maxTokens, startedAt: now,
 			});
 			decisions.push({
@@ -308,35 +306,35 @@
 	}
 
 	#startPrefills(now: number, decisions: Decision[]): void {
-		for (let waiting = this.#line.peek(now); waiting !== undefined; waiting = this.#line.peek(now)) {
-			const offer = this.#prefill.offer(waiting.ask, now);
-			if (!offer?.isDue) {
+		for (let waiting = this.#queue.peek(now); waiting !== undefined; waiting = this.#queue.peek(now)) {
+			const estimate = this.#prefill.estimateBest(waiting.ask, now);
+			if (!estimate?.isSlotAvailable) {
 				return;
 			}
 
-			if (this.#isTooLate(waiting, offer, now)) {
-				this.#line.remove(waiting.key);
-				decisions.push(this.#refusalOf(waiting, now));
+			if (this.#wouldMissDeadline(waiting, estimate, now)) {
+				this.#queue.remove(waiting.key);
+				decisions.push(this.#makeRefusal(waiting, now));
 				continue;
 			}
 
-			if (!this.#look(now).isSlotSure(offer.readyAt, this.#prefill.holdMsOf(offer.engine))) {
+			if (!this.#forecastSlots(now).willHaveSlot(estimate.readyAt, this.#prefill.resultHoldMsOf(estimate.engine))) {
 				return;
 			}
 
-			this.#line.take(waiting, now);
-			this.#pressure.grant(now);
-			this.#grant(waiting, offer, now);
+			this.#queue.dequeue(waiting, now);
+			this.#refusalBackoff.recordGrant(now);
+			this.#addLease(waiting, estimate, now);
 			decisions.push({
-				kind: 'prefill', request: waiting.ask.request, attempt: waiting.ask.attempt, engine: offer.engine,
+				kind: 'prefill', request: waiting.ask.request, attempt: waiting.ask.attempt, engine: estimate.engine,
 			});
 		}
 	}
 
-	#grant({key, ask, deadline}: Waiting, offer: PrefillOffer, now: number): void {
-		this.#prefill.take(offer, key, now);
+	#addLease({key, ask, deadline}: QueuedRequest, estimate: PrefillEstimate, now: number): void {
+		this.#prefill.reserveSlot(estimate, key, now);
 		this.#leases.add({
-			key, ask, deadline, prefillEngine: offer.engine, hall: offer.hall, stage: 'prefill', readyAt: offer.readyAt, lapsesAt: Number.POSITIVE_INFINITY, engine: '',
+			key, ask, deadline, prefillEngine: estimate.engine, hall: estimate.hall, stage: 'prefill', readyAt: estimate.readyAt, resultExpiresAt: Number.POSITIVE_INFINITY, engine: '',
 		});
 	}
 }
