--- a/packages/policy/src/utils/clock.test.ts
+++ b/packages/policy/src/utils/clock.test.ts
@@ -1,18 +1,18 @@
-/** Catalogue: what the hosts' clock makes of sleeps, of steps of the time of day, and of machines whose clocks do not go together. */
+/** Guards against a system clock that misses a suspend, follows a step of the wall clock, or decreases. */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {makeSystemClock, type ClockSources} from './clock.js';
 
-/** Clocks that a test moves; each call of `steady` takes a microsecond. */
-class Machine implements ClockSources {
+/** Clocks that the test controls. */
+class FakeSystem implements ClockSources {
 	steadyMs = 1000;
 	wallMs = 1_780_000_000_000;
 	uptimeMs = 50_000;
 	isUptimeReadable = true;
-	/** How fast the time since the machine's start goes. */
-	uptimePace = 1;
-	/** How fast the time of day goes. */
-	wallPace = 1;
+	/** Rate of the uptime relative to real time. */
+	uptimeRate = 1;
+	/** Rate of the wall clock relative to real time. */
+	wallRate = 1;
 
 	steady(): number {
 		return this.steadyMs;
@@ -27,19 +27,19 @@
 			throw new Error('no such file');
 		}
 
-		// As the system writes it: to a hundredth of a second
+		// The system reports hundredths of a second
 		return Math.floor(this.uptimeMs / 10) * 10;
 	}
 
 	run(milliseconds: number): void {
 		this.steadyMs += milliseconds;
-		this.wallMs += milliseconds * this.wallPace;
-		this.uptimeMs += milliseconds * this.uptimePace;
+		this.wallMs += milliseconds * this.wallRate;
+		this.uptimeMs += milliseconds * this.uptimeRate;
 	}
 
-	sleep(milliseconds: number): void {
+	suspend(milliseconds: number): void {
 		this.wallMs += milliseconds;
-		this.uptimeMs += milliseconds * this.uptimePace;
+		this.uptimeMs += milliseconds * this.uptimeRate;
 	}
 
 	step(milliseconds: number): void {
@@ -49,116 +49,116 @@
 
 type Case = {
 	readonly name: string;
-	readonly prepare?: (machine: Machine) => void;
-	readonly happen: (machine: Machine) => void;
-	/** By how much the clock runs ahead of the steady one, in milliseconds. */
+	readonly prepare?: (system: FakeSystem) => void;
+	readonly act: (system: FakeSystem) => void;
+	/** Expected lead over the monotonic clock, in milliseconds. */
 	readonly aheadMs: number;
 };
 
-const unreadable = (machine: Machine) => {
-	machine.isUptimeReadable = false;
+const unreadable = (system: FakeSystem) => {
+	system.isUptimeReadable = false;
 };
 
-const halfPaced = (machine: Machine) => {
-	machine.uptimePace = 0.5;
+const halfRate = (system: FakeSystem) => {
+	system.uptimeRate = 0.5;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'nothing', happen(machine) {
-			machine.run(10_000);
+		name: 'no event', act(system) {
+			system.run(10_000);
 		}, aheadMs: 0,
 	},
 	{
-		name: 'a sleep', happen(machine) {
-			machine.sleep(4000);
+		name: 'a suspend', act(system) {
+			system.suspend(4000);
 		}, aheadMs: 4000,
 	},
 	{
-		name: 'two sleeps', happen(machine) {
-			machine.sleep(4000);
-			machine.run(700);
-			machine.sleep(300);
+		name: 'two suspends', act(system) {
+			system.suspend(4000);
+			system.run(700);
+			system.suspend(300);
 		}, aheadMs: 4300,
 	},
 	{
-		name: 'a step ahead', happen(machine) {
-			machine.step(2400);
+		name: 'a forward step of the wall clock', act(system) {
+			system.step(2400);
 		}, aheadMs: 0,
 	},
 	{
-		name: 'a step back', happen(machine) {
-			machine.step(-2400);
+		name: 'a backward step of the wall clock', act(system) {
+			system.step(-2400);
 		}, aheadMs: 0,
 	},
 	{
-		name: 'a step back by a part of a sleep', happen(machine) {
-			machine.sleep(4000);
-			machine.step(-3000);
+		name: 'a backward step shorter than the suspend before it', act(system) {
+			system.suspend(4000);
+			system.step(-3000);
 		}, aheadMs: 4000,
 	},
 	{
-		name: 'a step back beyond a sleep', happen(machine) {
-			machine.sleep(1000);
-			machine.step(-3000);
+		name: 'a backward step longer than the suspend before it', act(system) {
+			system.suspend(1000);
+			system.step(-3000);
 		}, aheadMs: 1000,
 	},
 	{
-		name: 'a time of day that is slewed', prepare(machine) {
-			machine.wallPace = 1.0005;
-		}, happen(machine) {
+		name: 'a slewed wall clock', prepare(system) {
+			system.wallRate = 1.0005;
+		}, act(system) {
 			for (let count = 0; count < 1000; count += 1) {
-				machine.run(100);
+				system.run(100);
 			}
 		}, aheadMs: 0,
 	},
 	{
-		name: 'a sleep where only the time of day can be read', prepare: unreadable, happen(machine) {
-			machine.sleep(4000);
+		name: 'a suspend with unreadable uptime', prepare: unreadable, act(system) {
+			system.suspend(4000);
 		}, aheadMs: 4000,
 	},
 	{
-		name: 'a step back there', prepare: unreadable, happen(machine) {
-			machine.step(-4000);
+		name: 'a backward step with unreadable uptime', prepare: unreadable, act(system) {
+			system.step(-4000);
 		}, aheadMs: 0,
 	},
 	{
-		name: 'a sleep where the time since the start goes its own way', prepare: halfPaced, happen(machine) {
-			machine.sleep(4000);
+		name: 'a suspend with unreliable uptime', prepare: halfRate, act(system) {
+			system.suspend(4000);
 		}, aheadMs: 4000,
 	},
 	{
-		name: 'nothing there', prepare: halfPaced, happen(machine) {
-			machine.run(10_000);
+		name: 'no event with unreliable uptime', prepare: halfRate, act(system) {
+			system.run(10_000);
 		}, aheadMs: 0,
 	},
 ];
 
-const rounding = 20;
+const toleranceMs = 20;
 
-describe('the clock of hosts', () => {
-	for (const {name, prepare, happen, aheadMs} of cases) {
-		it(`${name}: ${aheadMs} ms ahead of the steady clock, and never back`, () => {
-			const machine = new Machine();
-			prepare?.(machine);
-			const clock = makeSystemClock(machine);
+describe('system clock', () => {
+	for (const {name, prepare, act, aheadMs} of cases) {
+		it(`${name}: ${aheadMs} ms ahead of the monotonic clock, never decreasing`, () => {
+			const system = new FakeSystem();
+			prepare?.(system);
+			const clock = makeSystemClock(system);
 			let last = clock.now();
-			const look = () => {
+			const check = () => {
 				const now = clock.now();
 				expect(now).toBeGreaterThanOrEqual(last);
 				last = now;
 			};
 
 			for (let count = 0; count < 20; count += 1) {
-				machine.run(100);
-				look();
+				system.run(100);
+				check();
 			}
 
-			happen(machine);
-			look();
-			machine.run(1000);
-			look();
-			expect(Math.abs(last - machine.steadyMs - aheadMs)).toBeLessThan(rounding);
+			act(system);
+			check();
+			system.run(1000);
+			check();
+			expect(Math.abs(last - system.steadyMs - aheadMs)).toBeLessThan(toleranceMs);
 		});
 	}
 });
--- a/packages/policy/src/utils/clock.ts
+++ b/packages/policy/src/utils/clock.ts
@@ -1,71 +1,73 @@
-/** Time as the decisions see it: monotonic milliseconds, handed in, so that tests own it. Safety: time-outs follow this clock alone, never the time of day, which jumps. */
+/**
+ * Monotonic clock and timers, passed in as a dependency so that tests can
+ * control time. Safety: all timeouts use this clock and never the wall clock,
+ * which can be set.
+ */
 import {uptime} from 'node:os';
 
 const millisecondsPerSecond = 1000;
 
-/** A timer that can be stopped. */
 export type Timer = {
-	/** Stops the timer; harmless once it has fired. */
+	/** Cancels the timer; has no effect once it has fired. */
 	stop(): void;
 };
 
 /** Monotonic time in milliseconds and timers on it. */
 export type Clock = {
-	/** Milliseconds since an arbitrary start; never goes back. */
+	/** Milliseconds since an arbitrary start; never decreases. */
 	now(): number;
-	/** Calls `run` once, `delayMs` from now. */
+	/** Calls `run` once after `delayMs`. */
 	after(delayMs: number, run: () => void): Timer;
 };
 
-/** The machine's clocks, in milliseconds. */
+/** Clocks of the operating system, in milliseconds. */
 export type ClockSources = {
-	/** Never jumps; stands still while the machine sleeps. */
+	/** Monotonic clock; stops while the system is suspended. */
 	steady(): number;
-	/** The time of day; jumps where it is set. */
+	/** Wall clock; can be set forwards and backwards. */
 	wall(): number;
-	/** Since the machine's start, its sleep included; costs the read of a file, and may raise an error. */
+	/** Time since boot, including time suspended. Reads a file; throws if it cannot be read. */
 	uptime(): number;
 };
 
-/** The sources that this machine has. */
 export const machineSources: ClockSources = {
 	steady: () => performance.now(),
 	wall: () => Date.now(),
 	uptime: () => uptime() * millisecondsPerSecond,
 };
 
-/** Change of the time of day against the steady clock from which on the machine may have slept, in milliseconds: three times the resolution of the time since its start. */
-const leastSleepMs = 30;
-/** Interval at which the clocks are compared where the time of day does not ask for it, in milliseconds. A comparison reads a file, in 1.4 us (20,000 reads). */
-const compareMs = 250;
-/** Difference from which on the time since the machine's start does not go with the steady clock, in milliseconds: it may only run ahead, and only in a sleep. */
-const incoherentMs = 50;
-/** Longest that one comparison may take, in milliseconds: a process that was put aside within it compares two instants. */
-const longestCompareMs = 5;
-
-/** How far the clocks stood apart when they were last compared, in milliseconds. */
-type Comparison = {
+/** Change of the wall clock against the monotonic clock that is checked for a suspend, in milliseconds; three times the resolution of the uptime. */
+const minSuspendMs = 30;
+/** Interval at which the clocks are compared if the wall clock has not jumped, in milliseconds. */
+const compareIntervalMs = 250;
+/** Change of the uptime against the monotonic clock from which the uptime is unreliable, in milliseconds; it may only run ahead, and only during a suspend. */
+const maxUptimeDriftMs = 50;
+/** Maximum duration of a comparison, in milliseconds; if the process was preempted for longer, the readings do not belong to one instant. */
+const maxCompareMs = 5;
+
+/** Offsets between the clocks at their last comparison, in milliseconds. */
+type ClockOffsets = {
 	readonly at: number;
-	/** Time of day less steady clock. */
+	/** Wall clock minus monotonic clock. */
 	readonly wallOffset: number;
-	/** Time since the machine's start less steady clock; undefined: it could not be read. */
+	/** Uptime minus monotonic clock; undefined if the uptime could not be read. */
 	readonly uptimeOffset: number | undefined;
 };
 
 /**
- * The steady clock, and the machine's sleep besides. Safety: ages of leases,
- * evidence and orders rest on it, and a host that slept must not take them for
- * young. The time of day tells cheaply that something happened (0.04 us more
- * a call), the time since the machine's start tells whether it was a sleep.
- * Where that cannot be read, or goes its own way as in some containers, a jump
- * ahead of the time of day counts as a sleep. A sleep by which the time of day
- * was set back within it, to a thirtieth of a second, is not seen.
+ * Monotonic clock that includes time suspended. Safety: the ages of leases,
+ * evidence and orders rest on it; they must not appear fresh after the system
+ * was suspended. A jump of the wall clock is a cheap hint of a suspend, which
+ * the uptime then confirms. If the uptime cannot be read or is unreliable, as
+ * in some containers, a forward jump of the wall clock counts as a suspend. A
+ * suspend is missed if the wall clock was set back by its length meanwhile, to
+ * within `minSuspendMs`.
  */
-class SleepCount {
+class SuspendAwareClock {
 	readonly #sources: ClockSources;
-	#last: Comparison;
+	#last: ClockOffsets;
 	#isUptimeTrusted = true;
-	#sleptMs = 0;
+	#suspendedMs = 0;
 
 	constructor(sources: ClockSources) {
 		this.#sources = sources;
@@ -75,64 +77,63 @@
 	now(): number {
 		const steady = this.#sources.steady();
 		const change = this.#sources.wall() - steady - this.#last.wallOffset;
-		if (Math.abs(change) >= leastSleepMs || steady - this.#last.at >= compareMs) {
-			this.#look();
-			return this.#sources.steady() + this.#sleptMs;
+		if (Math.abs(change) >= minSuspendMs || steady - this.#last.at >= compareIntervalMs) {
+			this.#checkForSuspend();
+			return this.#sources.steady() + this.#suspendedMs;
 		}
 
-		return steady + this.#sleptMs;
+		return steady + this.#suspendedMs;
 	}
 
-	#look(): void {
+	#checkForSuspend(): void {
 		const before = this.#last;
 		const now = this.#compare();
 		const wallChange = now.wallOffset - before.wallOffset;
-		const hasJumped = Math.abs(wallChange) >= leastSleepMs;
-		const uptimeChange = this.#judgeUptime(before, now, hasJumped);
+		const hasJumped = Math.abs(wallChange) >= minSuspendMs;
+		const uptimeChange = this.#measureUptimeChange(before, now, hasJumped);
 		if (hasJumped) {
-			this.#sleptMs += Math.max(0, uptimeChange ?? wallChange);
+			this.#suspendedMs += Math.max(0, uptimeChange ?? wallChange);
 			this.#last = now;
 			return;
 		}
 
-		// Rounding must not add up: the time since the start is compared with its first reading
+		// Keeps the first uptime offset as the reference, so that rounding errors do not accumulate
 		this.#last = {...now, uptimeOffset: before.uptimeOffset ?? now.uptimeOffset};
 	}
 
-	/** By how much the time since the machine's start ran ahead of the steady clock; undefined where it is not known, or not to be trusted. */
-	#judgeUptime(before: Comparison, now: Comparison, hasJumped: boolean): number | undefined {
+	/** Time by which the uptime ran ahead of the monotonic clock, in milliseconds; undefined if unknown or unreliable. */
+	#measureUptimeChange(before: ClockOffsets, now: ClockOffsets, hasJumped: boolean): number | undefined {
 		if (!this.#isUptimeTrusted || before.uptimeOffset === undefined || now.uptimeOffset === undefined) {
 			return undefined;
 		}
 
 		const change = now.uptimeOffset - before.uptimeOffset;
-		this.#isUptimeTrusted = change > -incoherentMs && (hasJumped || change < incoherentMs);
+		this.#isUptimeTrusted = change > -maxUptimeDriftMs && (hasJumped || change < maxUptimeDriftMs);
 		return this.#isUptimeTrusted ? change : undefined;
 	}
 
-	#compare(): Comparison {
+	#compare(): ClockOffsets {
 		const at = this.#sources.steady();
 		const wallOffset = this.#sources.wall() - at;
 		const uptimeOffset = this.#readUptime(at);
-		const tookMs = this.#sources.steady() - at;
-		return {at, wallOffset, uptimeOffset: tookMs > longestCompareMs ? undefined : uptimeOffset};
+		const durationMs = this.#sources.steady() - at;
+		return {at, wallOffset, uptimeOffset: durationMs > maxCompareMs ? undefined : uptimeOffset};
 	}
 
 	#readUptime(steady: number): number | undefined {
 		try {
 			return this.#sources.uptime() - steady;
 		} catch {
-			// Not every machine says it; the time of day stands in
+			// Not available on every system; the wall clock is used instead
 			return undefined;
 		}
 	}
 }
 
-/** Makes a clock of a machine's sources. */
 export function makeSystemClock(sources: ClockSources): Clock {
-	const count = new SleepCount(sources);
+	const clock = new SuspendAwareClock(sources);
 	return {
-		now: () => count.now(),
+		now: () => clock.now(),
 		after(delayMs, run) {
 			const handle = setTimeout(run, Math.max(0, delayMs));
 			return {
@@ -144,5 +145,4 @@
 	};
 }
 
-/** The machine's own clock. */
 export const systemClock: Clock = makeSystemClock(machineSources);
--- a/packages/policy/src/utils/ignore.ts
+++ b/packages/policy/src/utils/ignore.ts
@@ -1,6 +1,4 @@
-/** A callback for an outcome that nothing waits for. */
-
-/** Does nothing. */
+/** Does nothing; a callback for outcomes that can be ignored. */
 export function ignore(): void {
-	// Nothing waits for the outcome
+	// Intentionally empty
 }
--- a/packages/policy/src/utils/manual-clock.ts
+++ b/packages/policy/src/utils/manual-clock.ts
@@ -1,41 +1,41 @@
-/** A clock that stands still until it is moved, for tests and for `npm run measure`. */
+/** Clock that advances only when told to, for tests and for `npm run measure`. */
 import {type Clock, type Timer} from './clock.js';
 
-type Waiting = {
+type ScheduledTimer = {
 	readonly at: number;
 	readonly order: number;
 	readonly run: () => void;
 	stopped: boolean;
 };
 
-function isBefore(left: Waiting, right: Waiting): boolean {
+function isBefore(left: ScheduledTimer, right: ScheduledTimer): boolean {
 	return left.at === right.at ? left.order < right.order : left.at < right.at;
 }
 
-/** Timers fire in order of time, then of making. */
+/** Fires timers in order of due time, then of creation. */
 export class ManualClock implements Clock {
-	readonly #heap: Waiting[] = [];
+	readonly #heap: ScheduledTimer[] = [];
 	#now = 0;
-	#made = 0;
+	#createdCount = 0;
 
 	now(): number {
 		return this.#now;
 	}
 
 	after(delayMs: number, run: () => void): Timer {
-		const waiting: Waiting = {
-			at: this.#now + Math.max(0, delayMs), order: this.#made, run, stopped: false,
+		const timer: ScheduledTimer = {
+			at: this.#now + Math.max(0, delayMs), order: this.#createdCount, run, stopped: false,
 		};
-		this.#made += 1;
-		this.#push(waiting);
+		this.#createdCount += 1;
+		this.#push(timer);
 		return {
 			stop() {
-				waiting.stopped = true;
+				timer.stopped = true;
 			},
 		};
 	}
 
-	/** Time of the next timer, or undefined when none waits. */
+	/** Due time of the next timer, or undefined if none is pending. */
 	nextAt(): number | undefined {
 		while (this.#heap[0]?.stopped) {
 			this.#pop();
@@ -44,7 +44,7 @@
 		return this.#heap[0]?.at;
 	}
 
-	/** Moves time on by `milliseconds` and fires all timers that fall due. */
+	/** Advances time by `milliseconds` and fires all timers that become due. */
 	advance(milliseconds: number): void {
 		const end = this.#now + milliseconds;
 		for (let next = this.nextAt(); next !== undefined && next <= end; next = this.nextAt()) {
@@ -55,24 +55,24 @@
 		this.#now = end;
 	}
 
-	#push(waiting: Waiting): void {
+	#push(timer: ScheduledTimer): void {
 		const heap = this.#heap;
 		let child = heap.length;
-		heap.push(waiting);
+		heap.push(timer);
 		while (child > 0) {
 			const parent = (child - 1) >> 1;
 			const above = heap[parent];
-			if (above === undefined || !isBefore(waiting, above)) {
+			if (above === undefined || !isBefore(timer, above)) {
 				break;
 			}
 
 			heap[child] = above;
-			heap[parent] = waiting;
+			heap[parent] = timer;
 			child = parent;
 		}
 	}
 
-	#pop(): Waiting | undefined {
+	#pop(): ScheduledTimer | undefined {
 		const heap = this.#heap;
 		const first = heap[0];
 		const last = heap.pop();
--- a/packages/policy/src/utils/random.ts
+++ b/packages/policy/src/utils/random.ts
@@ -1,15 +1,14 @@
-/** Seeded random numbers from a library, so that every measurement can be repeated. Efficiency only: no promise rests on chance. */
+/** Random number sources; seeded ones make measurements reproducible. Not cryptographically secure. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
 const twoTo32 = 4_294_967_296;
 
-/** A source of random numbers. */
 export type Random = {
-	/** A number from 0 up to, not including, 1. */
+	/** Returns a number in [0, 1). */
 	next(): number;
 };
 
-/** Random numbers that repeat for one seed. */
+/** Returns a source that yields the same sequence for the same seed. */
 export function seedRandom(seed: number): Random {
 	const generator = xoroshiro128plus(seed);
 	return {
@@ -17,20 +16,20 @@
 	};
 }
 
-/** Random numbers of the machine, for spreading load; never for secrets. */
+/** Unseeded source, for spreading load; never for secrets. */
 export const systemRandom: Random = {next: () => Math.random()};
 
-/** A random member of a list that is not empty. */
+/** Returns a random item, or undefined if the list is empty. */
 export function pick<Item>(random: Random, items: readonly Item[]): Item | undefined {
 	return items[Math.floor(random.next() * items.length)];
 }
 
-/** `value` spread evenly over `value × (1 ± spread)`. */
+/** Returns a number uniformly distributed over `value × (1 ± spread)`. */
 export function jitter(random: Random, value: number, spread: number): number {
 	return value * (1 - spread + (2 * spread * random.next()));
 }
 
-/** A copy of a list in chance order. */
+/** Returns a copy of the list in random order. */
 export function shuffle<Item>(random: Random, items: readonly Item[]): Item[] {
 	const keyed = items.map(item => ({item, key: random.next()}));
 	keyed.sort((left, right) => left.key - right.key);
--- a/packages/policy/src/utils/recent-map.ts
+++ b/packages/policy/src/utils/recent-map.ts
@@ -1,11 +1,10 @@
-/** A map of bounded size that forgets what was set longest ago. Neither safety nor efficiency rests here: whoever uses it says what forgetting costs. */
+/** Map of bounded size that evicts the entry that was set least recently. */
 export class RecentMap<Key, Value> {
-	readonly #most: number;
+	readonly #maxSize: number;
 	readonly #values = new Map<Key, Value>();
 
-	/** Keeps `most` values. */
-	constructor(most: number) {
-		this.#most = most;
+	constructor(maxSize: number) {
+		this.#maxSize = maxSize;
 	}
 
 	get(key: Key): Value | undefined {
@@ -16,13 +15,13 @@
 		return this.#values.has(key);
 	}
 
-	/** Sets a value, which is the latest then. */
+	/** Sets a value and moves its entry to the end of the eviction order. */
 	set(key: Key, value: Value): void {
-		// Taken out first, so that the oldest stands in front
+		// Reinserting moves the key to the end of the iteration order
 		this.#values.delete(key);
 		this.#values.set(key, value);
 		const [oldest] = this.#values.keys();
-		if (this.#values.size > this.#most && oldest !== undefined) {
+		if (this.#values.size > this.#maxSize && oldest !== undefined) {
 			this.#values.delete(oldest);
 		}
 	}
@@ -31,7 +30,7 @@
 		this.#values.delete(key);
 	}
 
-	/** All, the oldest first. */
+	/** All entries, least recently set first. */
 	entries(): IterableIterator<[Key, Value]> {
 		return this.#values.entries();
 	}
