--- a/packages/policy/src/baselines/placement.ts
+++ b/packages/policy/src/baselines/placement.ts
@@ -1,30 +1,30 @@
 /**
- * Placements that `npm run measure` compares with: each deciding host picks
- * both engines at once, without leases. Efficiency only.
+ * Baseline placement policies for `npm run measure`: each host selects both
+ * engines at once, without leases.
  */
 import {type Engine} from '@gatehead/schema/bundle';
 import {pick, type Random} from '../utils/random.js';
 
-/** What a deciding host knows of an engine. */
+/** What the selecting host knows about an engine. */
 export type EngineView = {
 	readonly engine: Engine;
-	/** Requests at the engine as its last report said. */
+	/** Number of requests at the engine, from its last report. */
 	readonly reported: number;
-	/** Requests that this host itself has there. */
+	/** Number of requests that the selecting host has at the engine. */
 	readonly own: number;
 	readonly isHealthy: boolean;
 };
 
-/** A choice of both engines by name. */
+/** Names of the selected engines. */
 export type Placement = {
 	readonly prefill: string;
 	readonly decode: string;
 };
 
-/** Picks engines for a request, or undefined where none is healthy. */
+/** Selects engines for a request; undefined if a role has no healthy engine. */
 export type Placer = (views: readonly EngineView[], random: Random) => Placement | undefined;
 
-function choose(views: readonly EngineView[], role: Engine['role'], random: Random, costOf: (view: EngineView) => number): string | undefined {
+function selectEngine(views: readonly EngineView[], role: Engine['role'], random: Random, costOf: (view: EngineView) => number): string | undefined {
 	const healthy = views.filter(({engine, isHealthy}) => isHealthy && engine.role === role && !engine.leaving);
 	let best: EngineView[] = [];
 	let bestCost = Number.POSITIVE_INFINITY;
@@ -45,21 +45,19 @@
 
 function makePlacer(costOf: (view: EngineView) => number): Placer {
 	return (views, random) => {
-		const prefill = choose(views, 'prefill', random, costOf);
-		const decode = choose(views, 'decode', random, costOf);
+		const prefill = selectEngine(views, 'prefill', random, costOf);
+		const decode = selectEngine(views, 'decode', random, costOf);
 		return prefill === undefined || decode === undefined ? undefined : {prefill, decode};
 	};
 }
 
-/** Baselines by name. */
 export const placers = {
 	/** Any healthy engine. */
 	random: makePlacer(() => 0),
-	/** The engine whose last report shows least load. */
+	/** The engine with the least load in its last report. */
 	'least-loaded': makePlacer(({reported, engine}) => reported / engine.slots),
-	/** The first version of this repository: the engine where this host itself has least. */
+	/** The engine with the least load from the selecting host. */
 	thin: makePlacer(({own, engine}) => own / engine.slots),
 } as const satisfies Record<string, Placer>;
 
-/** A baseline's name. */
 export type BaselineName = keyof typeof placers;
--- a/packages/policy/src/performance/bench.ts
+++ b/packages/policy/src/performance/bench.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`: what one decision costs at 8, 64 and 350 hosts, before as many replicas as go with them. */
+/** `npm run bench`: cost of single decisions in microseconds, for fleets of 8, 64 and 350 hosts. */
 import process from 'node:process';
 import {bundle as bundleSchema, type Bundle} from '@gatehead/schema/bundle';
 import {type LeaseAsk, type MemberRecord} from '@gatehead/schema/peer-message';
@@ -9,9 +9,9 @@
 import {seedRandom} from '../utils/random.js';
 
 const seed = 1;
-const warmRounds = 2000;
+const warmupRounds = 2000;
 const rounds = 20_000;
-const waitingRequests = 50;
+const maxActiveLeases = 50;
 const tokenDigest = 'ab'.repeat(32);
 const halls = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6'];
 const sizes = [{hosts: 8, replicas: 13}, {hosts: 64, replicas: 293}, {hosts: 350, replicas: 1600}] as const;
@@ -59,11 +59,11 @@
 	};
 }
 
-/** Takes one request from ask to release, with others waiting and holding slots as at a peak. */
+/** Returns a function that asks for one lease and makes the decisions that are due, while other requests wait and hold slots as at peak load. */
 function makeDecision(cell: Cell): () => void {
 	const scheduler = makeScheduler(cell);
 	let number = 0;
-	const open: string[] = [];
+	const activeLeases: string[] = [];
 	return () => {
 		const now = number * 5;
 		scheduler.ask(makeAsk(number), now);
@@ -72,18 +72,18 @@
 			if (decision.kind === 'prefill') {
 				scheduler.prefilled(`${decision.request} ${decision.attempt}`, 800, now);
 			} else if (decision.kind === 'decode') {
-				open.push(`${decision.request} ${decision.attempt}`);
+				activeLeases.push(`${decision.request} ${decision.attempt}`);
 			}
 		}
 
-		if (open.length > waitingRequests) {
-			scheduler.release(open.shift() ?? '', 100, now);
+		if (activeLeases.length > maxActiveLeases) {
+			scheduler.release(activeLeases.shift() ?? '', 100, now);
 		}
 	};
 }
 
-function time(run: () => void): number {
-	for (let round = 0; round < warmRounds; round += 1) {
+function measureMicroseconds(run: () => void): number {
+	for (let round = 0; round < warmupRounds; round += 1) {
 		run();
 	}
 
@@ -113,17 +113,17 @@
 	const keepers = new Set(cells.filter(each => each.model === cell.model).map(each => keeperOf(each, members) ?? ''));
 	let number = 0;
 	const costs = [
-		time(makeDecision(cell)),
-		time(() => {
+		measureMicroseconds(makeDecision(cell)),
+		measureMicroseconds(() => {
 			number += 1;
 			rings.order({
 				caller: `c${number}`, client: '127.0.0.1', hall: 'h1', keepers,
 			});
 		}),
-		time(() => {
+		measureMicroseconds(() => {
 			keeperOf(cell, members);
 		}),
-		time(() => {
+		measureMicroseconds(() => {
 			table.neighbours();
 		}),
 	];
