--- a/packages/host/src/core/planned-stop.ts
+++ b/packages/host/src/core/planned-stop.ts
@@ -3,7 +3,7 @@
  * goes on accepting until the last lookup that may have named it has lapsed,
  * then refuses with "not run", and exits only when nothing is in work.
  */
-import {longestTimeToLive} from '@gatehead/policy/core/lookup';
+import {maxTimeToLive} from '@gatehead/policy/core/lookup';
 import {type Context} from './context.js';
 
 const pollMs = 50;
@@ -32,7 +32,7 @@
 	context.log('stopping');
 	context.timeline.note({kind: 'stopping'});
 	leave();
-	await pause(context, longestTimeToLive(lookupTtlMs()) + (newsTicks * context.settings.timing.tickMs));
+	await pause(context, maxTimeToLive(lookupTtlMs()) + (newsTicks * context.settings.timing.tickMs));
 	refuseNew();
 	while (countOpen() > 0) {
 		await pause(context, pollMs);
--- a/packages/host/src/front/completions.ts
+++ b/packages/host/src/front/completions.ts
@@ -84,7 +84,7 @@
 		id,
 		bodyDigest: digestOf(Buffer.from(body).toString('base64')),
 		lapsesAt: parts.context.toOwnClock(ticket.expires),
-		begin(): Job {
+		createJob(): Job {
 			const answer = begin(parts, work, mostAttempts, () => {
 				closeEntry(parts, id, answer);
 			});
--- a/packages/host/src/front/services.ts
+++ b/packages/host/src/front/services.ts
@@ -75,7 +75,7 @@
 		id,
 		bodyDigest: digestOf(`${call.method} ${call.path}\n${Buffer.from(call.body).toString('base64')}`),
 		lapsesAt: context.toOwnClock(ticket.expires),
-		begin: (): Job => ({kind: 'call', outcome: callService(calls, call)}),
+		createJob: (): Job => ({kind: 'call', outcome: callService(calls, call)}),
 	});
 	if (job.kind !== 'call') {
 		return fail('keyReused');
--- a/packages/host/src/keeper/keeper.ts
+++ b/packages/host/src/keeper/keeper.ts
@@ -3,7 +3,7 @@
  * membership change. Efficiency: two hosts that keep one cell at once grant
  * too much for a while; the engines refuse and the reports shrink both.
  */
-import {cellsOf, keeperOf, type Cell} from '@gatehead/policy/core/cell';
+import {deriveCells, selectKeeper, type Cell} from '@gatehead/policy/core/cell';
 import {type MemberRecord, type PeerMessage} from '@gatehead/schema/peer-message';
 import {toCanonicalJson} from '@gatehead/schema/canonical-json';
 import {type BundleStore, type InForce} from '../core/bundle-store.js';
@@ -46,7 +46,7 @@
 			context, client, bundles, onHigherFence, isKeeper: engine => this.#keepsEngine(engine),
 		});
 		bundles.onAdopted(inForce => {
-			this.cells = cellsOf(inForce.bundle);
+			this.cells = deriveCells(inForce.bundle);
 			this.review();
 		});
 	}
@@ -81,7 +81,7 @@
 		let keepers = this.#keepersByModel.get(model);
 		if (keepers === undefined) {
 			const candidates = this.#parts.candidates();
-			keepers = new Set(this.cells.filter(each => each.model === model).flatMap(each => keeperOf(each, candidates) ?? []));
+			keepers = new Set(this.cells.filter(each => each.model === model).flatMap(each => selectKeeper(each, candidates) ?? []));
 			this.#keepersByModel.set(model, keepers);
 		}
 
@@ -141,7 +141,7 @@
 	}
 
 	#isKeeperOf(cell: Cell): boolean {
-		return keeperOf(cell, this.#parts.candidates()) === this.#parts.context.self.host;
+		return selectKeeper(cell, this.#parts.candidates()) === this.#parts.context.self.host;
 	}
 
 	#keepsEngine(engine: string): boolean {
--- a/packages/host/src/keeper/kept-cell.ts
+++ b/packages/host/src/keeper/kept-cell.ts
@@ -140,10 +140,10 @@
 				this.#adopt(from, claims, now);
 			})
 			.with({kind: 'started'}, lease => {
-				this.#scheduler.started(leaseKey(lease), now);
+				this.#scheduler.decodeStarted(leaseKey(lease), now);
 			})
 			.with({kind: 'bounced'}, ({engine, lost, ...lease}) => {
-				this.#scheduler.bounced(leaseKey(lease), engine, lost, now);
+				this.#scheduler.decodeRejected(leaseKey(lease), engine, lost, now);
 			})
 			.with({kind: 'withdraw'}, lease => {
 				this.#release(leaseKey(lease), 0, now);
@@ -162,7 +162,7 @@
 	#prefilled(from: string, {holdMs, ...lease}: PeerMessageOf<'prefilled'>, now: number): void {
 		const key = leaseKey(lease);
 		this.#claimOne(from, key, now);
-		this.#scheduler.prefilled(key, holdMs, now);
+		this.#scheduler.prefillFinished(key, holdMs, now);
 		this.#sayAgain(from, key, 'decode');
 	}
 
@@ -296,7 +296,7 @@
 	#missReport(engine: Engine): void {
 		const missed = (this.#missed.get(engine.name) ?? 0) + 1;
 		this.#missed.set(engine.name, missed);
-		if (missed >= missedReports && this.#scheduler.lose(engine.name)) {
+		if (missed >= missedReports && this.#scheduler.markUnhealthy(engine.name)) {
 			this.#parts.context.log('endpointSuspect', {endpoint: engine.name});
 		}
 	}
--- a/packages/host/src/keeper/lease-client.ts
+++ b/packages/host/src/keeper/lease-client.ts
@@ -4,7 +4,7 @@
  * is in use. Efficiency: a lease that is wrongly held or lost costs goodput.
  */
 import {ignore} from '@gatehead/policy/utils/ignore';
-import {keeperOf, type Cell} from '@gatehead/policy/core/cell';
+import {selectKeeper, type Cell} from '@gatehead/policy/core/cell';
 import {rank} from '@gatehead/policy/core/rendezvous';
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {Failure, fail} from '@gatehead/schema/failure';
@@ -239,7 +239,7 @@
 	}
 
 	#keeperOf(cell: Cell): string | undefined {
-		return keeperOf(cell, this.#parts.candidates());
+		return selectKeeper(cell, this.#parts.candidates());
 	}
 
 	async #wait(holding: Holding, signal: AbortSignal, message: () => PeerMessage): Promise<string> {
--- a/packages/host/src/peer/membership.ts
+++ b/packages/host/src/peer/membership.ts
@@ -335,7 +335,7 @@
 	}
 
 	#judge(host: string, state: 'suspect' | 'dead'): void {
-		const judged = this.members.judge(host, state);
+		const judged = this.members.markState(host, state);
 		if (judged === undefined) {
 			return;
 		}
--- a/packages/policy/src/core/cell.ts
+++ b/packages/policy/src/core/cell.ts
@@ -52,7 +52,7 @@
 }
 
 /** Derives the cells of a bundle. Deterministic: all hosts derive the same cells from the same bundle. */
-export function cellsOf({models, engines}: Bundle): Cell[] {
+export function deriveCells({models, engines}: Bundle): Cell[] {
 	const cells: Cell[] = [];
 	for (const {name: model} of models) {
 		const modelEngines = engines.filter(each => each.model === model);
@@ -73,7 +73,7 @@
 };
 
 /** Selects the cell's keeper: by rendezvous hashing among the candidates of the first of the cell's halls that has any, else among all candidates. */
-export function keeperOf(cell: Cell, candidates: readonly KeeperCandidate[]): string | undefined {
+export function selectKeeper(cell: Cell, candidates: readonly KeeperCandidate[]): string | undefined {
 	for (const hall of cell.halls) {
 		const near = rankFirst(cell.name, candidates.filter(each => each.hall === hall).map(each => each.host));
 		if (near !== undefined) {
--- a/packages/policy/src/core/generated.test.ts
+++ b/packages/policy/src/core/generated.test.ts
@@ -8,7 +8,7 @@
 import {Scheduler} from '../scheduler/scheduler.js';
 import {ignore} from '../utils/ignore.js';
 import {seedRandom} from '../utils/random.js';
-import {cellsOf, keeperOf, maxCellEngines} from './cell.js';
+import {deriveCells, maxCellEngines, selectKeeper} from './cell.js';
 import {HostRings, maxLookupHosts} from './lookup.js';
 import {Members} from './members.js';
 
@@ -157,7 +157,7 @@
 describe('cells', () => {
 	it('contain every engine once and both roles, and have bounded size', () => {
 		fc.assert(fc.property(fc.integer({min: 2, max: 200}), count => {
-			const cells = cellsOf({
+			const cells = deriveCells({
 				deployment: 'd', version: 1, models: [{
 					name: 'm', version: 'v', windowTokens: 1, kvBytesPerToken: 1, adapters: [],
 				}], engines: makeEngines(count), services: [], callers: [], rules: {
@@ -178,10 +178,10 @@
 				name: 'm/0', model: 'm', engines: [], halls: ['north'],
 			};
 			const candidates = hosts.map(host => ({host, hall: 'north'}));
-			const keeper = keeperOf(cell, candidates);
+			const keeper = selectKeeper(cell, candidates);
 			const removed = hosts[nth % hosts.length];
 			if (removed !== keeper) {
-				expect(keeperOf(cell, candidates.filter(each => each.host !== removed))).toEqual(keeper);
+				expect(selectKeeper(cell, candidates.filter(each => each.host !== removed))).toEqual(keeper);
 			}
 		}), options);
 	});
@@ -216,14 +216,14 @@
 					scheduler.ask(makeAsk(nth), now);
 				},
 				prefilled(_nth, key, now) {
-					scheduler.prefilled(key, 800, now);
+					scheduler.prefillFinished(key, 800, now);
 				},
 				release(_nth, key, now) {
 					scheduler.release(key, 10, now);
 					held.delete(key);
 				},
 				bounced(_nth, key, now) {
-					scheduler.bounced(key, held.get(key) ?? '', false, now);
+					scheduler.decodeRejected(key, held.get(key) ?? '', false, now);
 					held.delete(key);
 				},
 				withdraw(_nth, key) {
--- a/packages/policy/src/core/ledger.test.ts
+++ b/packages/policy/src/core/ledger.test.ts
@@ -81,7 +81,7 @@
 			const ledger = new Ledger<string>(2);
 			for (const {at, id, body, lapsesAt, ends, expected} of steps) {
 				const verdict = ledger.enter({
-					id, bodyDigest: body, lapsesAt, begin: () => id,
+					id, bodyDigest: body, lapsesAt, createJob: () => id,
 				}, at);
 				expect(verdict.kind).toEqual(expected as typeof verdict.kind); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the table holds plain text
 				if (ends) {
--- a/packages/policy/src/core/ledger.ts
+++ b/packages/policy/src/core/ledger.ts
@@ -29,7 +29,7 @@
 	readonly bodyDigest: string;
 	readonly lapsesAt: number;
 	/** Creates the job; called only for the first call with a key. */
-	readonly begin: () => Job;
+	readonly createJob: () => Job;
 };
 
 /** Deduplication table of one incarnation of a host. */
@@ -50,7 +50,7 @@
 	}
 
 	/** Registers the first call with a key, or returns the entry of the earlier call. */
-	enter({id, bodyDigest, lapsesAt, begin}: LedgerCall<Job>, now: number): LedgerResult<Job> {
+	enter({id, bodyDigest, lapsesAt, createJob}: LedgerCall<Job>, now: number): LedgerResult<Job> {
 		const known = this.#entries.get(id);
 		if (known !== undefined) {
 			return known.bodyDigest === bodyDigest ? {kind: 'repeat', entry: known} : {kind: 'otherBody'};
@@ -66,7 +66,7 @@
 		}
 
 		const entry: LedgerEntry<Job> = {
-			id, bodyDigest, lapsesAt, job: begin(), isEnded: false,
+			id, bodyDigest, lapsesAt, job: createJob(), isEnded: false,
 		};
 		this.#entries.set(id, entry);
 		return {kind: 'first', entry};
--- a/packages/policy/src/core/lookup.ts
+++ b/packages/policy/src/core/lookup.ts
@@ -124,6 +124,6 @@
 }
 
 /** Upper bound of `timeToLive`; a host accepts requests for that long after a planned stop begins. */
-export function longestTimeToLive(ttlMs: number): number {
+export function maxTimeToLive(ttlMs: number): number {
 	return Math.ceil(ttlMs * (1 + ttlJitter));
 }
--- a/packages/policy/src/core/members.ts
+++ b/packages/policy/src/core/members.ts
@@ -117,7 +117,7 @@
 	}
 
 	/** Marks another host as suspect or dead; returns the new record, or undefined if the host is unknown or its state is as bad or worse. */
-	judge(host: string, state: 'suspect' | 'dead'): MemberRecord | undefined {
+	markState(host: string, state: 'suspect' | 'dead'): MemberRecord | undefined {
 		const known = this.recordOf(host);
 		if (known === undefined || host === this.#selfName || severity[known.state] >= severity[state]) {
 			return undefined;
--- a/packages/policy/src/performance/bench.ts
+++ b/packages/policy/src/performance/bench.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import {bundle as bundleSchema, type Bundle} from '@gatehead/schema/bundle';
 import {type LeaseAsk, type MemberRecord} from '@gatehead/schema/peer-message';
-import {cellsOf, keeperOf, type Cell} from '../core/cell.js';
+import {deriveCells, selectKeeper, type Cell} from '../core/cell.js';
 import {HostRings} from '../core/lookup.js';
 import {Members} from '../core/members.js';
 import {Scheduler} from '../scheduler/scheduler.js';
@@ -70,7 +70,7 @@
 		number += 1;
 		for (const decision of scheduler.decide(now)) {
 			if (decision.kind === 'prefill') {
-				scheduler.prefilled(`${decision.request} ${decision.attempt}`, 800, now);
+				scheduler.prefillFinished(`${decision.request} ${decision.attempt}`, 800, now);
 			} else if (decision.kind === 'decode') {
 				activeLeases.push(`${decision.request} ${decision.attempt}`);
 			}
@@ -98,7 +98,7 @@
 process.stdout.write('  hosts  replicas   decision µs   lookup µs   keeper µs   neighbours µs\n');
 for (const {hosts, replicas} of sizes) {
 	const members = makeMembers(hosts);
-	const cells = cellsOf(makeBundle(replicas));
+	const cells = deriveCells(makeBundle(replicas));
 	const table = new Members(members[0] ?? makeMembers(1)[0]!);
 	for (const member of members) {
 		table.merge(member);
@@ -110,7 +110,7 @@
 	}
 
 	const rings = new HostRings(members);
-	const keepers = new Set(cells.filter(each => each.model === cell.model).map(each => keeperOf(each, members) ?? ''));
+	const keepers = new Set(cells.filter(each => each.model === cell.model).map(each => selectKeeper(each, members) ?? ''));
 	let number = 0;
 	const costs = [
 		measureMicroseconds(makeDecision(cell)),
@@ -121,7 +121,7 @@
 			});
 		}),
 		measureMicroseconds(() => {
-			keeperOf(cell, members);
+			selectKeeper(cell, members);
 		}),
 		measureMicroseconds(() => {
 			table.neighbours();
--- a/packages/policy/src/scheduler/scheduler.ts
+++ b/packages/policy/src/scheduler/scheduler.ts
@@ -109,7 +109,7 @@
 	}
 
 	/** Records that a prefill finished; its result expires after `holdMs`. */
-	prefilled(key: string, holdMs: number, now: number): void {
+	prefillFinished(key: string, holdMs: number, now: number): void {
 		const lease = this.#leases.get(key);
 		if (lease?.stage !== 'prefill') {
 			return;
@@ -122,7 +122,7 @@
 	}
 
 	/** Records that the decode engine has imported the KV cache. */
-	started(key: string, now: number): void {
+	decodeStarted(key: string, now: number): void {
 		const lease = this.#leases.get(key);
 		if (lease !== undefined) {
 			this.#decode.markStarted(lease.engine, key, now);
@@ -130,10 +130,10 @@
 	}
 
 	/** Records that a decode engine rejected the work, or with `isLost` that it is unreachable. */
-	bounced(key: string, engine: string, isLost: boolean, now: number): void {
+	decodeRejected(key: string, engine: string, isLost: boolean, now: number): void {
 		const lease = this.#leases.get(key);
 		if (isLost) {
-			this.lose(engine);
+			this.markUnhealthy(engine);
 		}
 
 		if (lease?.stage !== 'decode' || lease.engine !== engine) {
@@ -206,7 +206,7 @@
 	}
 
 	/** Marks an unresponsive engine as unhealthy; returns whether it was healthy before. */
-	lose(engine: string): boolean {
+	markUnhealthy(engine: string): boolean {
 		const wasHealthyDecode = this.#decode.markUnhealthy(engine);
 		return this.#prefill.markUnhealthy(engine) || wasHealthyDecode;
 	}
--- a/packages/policy/src/utils/clock.test.ts
+++ b/packages/policy/src/utils/clock.test.ts
@@ -5,7 +5,7 @@
 
 /** Clocks that the test controls. */
 class FakeSystem implements ClockSources {
-	steadyMs = 1000;
+	monotonicMs = 1000;
 	wallMs = 1_780_000_000_000;
 	uptimeMs = 50_000;
 	isUptimeReadable = true;
@@ -14,8 +14,8 @@
 	/** Rate of the wall clock relative to real time. */
 	wallRate = 1;
 
-	steady(): number {
-		return this.steadyMs;
+	monotonic(): number {
+		return this.monotonicMs;
 	}
 
 	wall(): number {
@@ -32,7 +32,7 @@
 	}
 
 	run(milliseconds: number): void {
-		this.steadyMs += milliseconds;
+		this.monotonicMs += milliseconds;
 		this.wallMs += milliseconds * this.wallRate;
 		this.uptimeMs += milliseconds * this.uptimeRate;
 	}
@@ -158,7 +158,7 @@
 			check();
 			system.run(1000);
 			check();
-			expect(Math.abs(last - system.steadyMs - aheadMs)).toBeLessThan(toleranceMs);
+			expect(Math.abs(last - system.monotonicMs - aheadMs)).toBeLessThan(toleranceMs);
 		});
 	}
 });
--- a/packages/policy/src/utils/clock.ts
+++ b/packages/policy/src/utils/clock.ts
@@ -23,7 +23,7 @@
 /** Clocks of the operating system, in milliseconds. */
 export type ClockSources = {
 	/** Monotonic clock; stops while the system is suspended. */
-	steady(): number;
+	monotonic(): number;
 	/** Wall clock; can be set forwards and backwards. */
 	wall(): number;
 	/** Time since boot, including time suspended. Reads a file; throws if it cannot be read. */
@@ -31,7 +31,7 @@
 };
 
 export const machineSources: ClockSources = {
-	steady: () => performance.now(),
+	monotonic: () => performance.now(),
 	wall: () => Date.now(),
 	uptime: () => uptime() * millisecondsPerSecond,
 };
@@ -75,14 +75,14 @@
 	}
 
 	now(): number {
-		const steady = this.#sources.steady();
-		const change = this.#sources.wall() - steady - this.#last.wallOffset;
-		if (Math.abs(change) >= minSuspendMs || steady - this.#last.at >= compareIntervalMs) {
+		const monotonic = this.#sources.monotonic();
+		const change = this.#sources.wall() - monotonic - this.#last.wallOffset;
+		if (Math.abs(change) >= minSuspendMs || monotonic - this.#last.at >= compareIntervalMs) {
 			this.#checkForSuspend();
-			return this.#sources.steady() + this.#suspendedMs;
+			return this.#sources.monotonic() + this.#suspendedMs;
 		}
 
-		return steady + this.#suspendedMs;
+		return monotonic + this.#suspendedMs;
 	}
 
 	#checkForSuspend(): void {
@@ -113,16 +113,16 @@
 	}
 
 	#compare(): ClockOffsets {
-		const at = this.#sources.steady();
+		const at = this.#sources.monotonic();
 		const wallOffset = this.#sources.wall() - at;
 		const uptimeOffset = this.#readUptime(at);
-		const durationMs = this.#sources.steady() - at;
+		const durationMs = this.#sources.monotonic() - at;
 		return {at, wallOffset, uptimeOffset: durationMs > maxCompareMs ? undefined : uptimeOffset};
 	}
 
-	#readUptime(steady: number): number | undefined {
+	#readUptime(monotonic: number): number | undefined {
 		try {
-			return this.#sources.uptime() - steady;
+			return this.#sources.uptime() - monotonic;
 		} catch {
 			// Not available on every system; the wall clock is used instead
 			return undefined;
--- a/packages/standin/src/measure/lease-policy.ts
+++ b/packages/standin/src/measure/lease-policy.ts
@@ -87,7 +87,7 @@
 	#poll(engine: FakeEngine): void {
 		const {clock, reportLagMs} = this.#world;
 		if (engine.isLost) {
-			this.#scheduler.lose(engine.traits.name);
+			this.#scheduler.markUnhealthy(engine.traits.name);
 		} else {
 			const report = reportOf(engine);
 			clock.after(reportLagMs, () => {
@@ -198,7 +198,7 @@
 			flow.handle = result.handle;
 			flow.source = engine;
 			this.#tell(flow.host, now => {
-				this.#scheduler.prefilled(key, result.holdMs, now);
+				this.#scheduler.prefillFinished(key, result.holdMs, now);
 			});
 			this.#world.clock.after(result.holdMs + 1, () => {
 				if (flow.handle === result.handle) {
@@ -226,7 +226,7 @@
 			if (refusal?.refused === 'full') {
 				flow.handle = handle;
 				this.#tell(flow.host, now => {
-					this.#scheduler.bounced(key, engine.traits.name, false, now);
+					this.#scheduler.decodeRejected(key, engine.traits.name, false, now);
 				});
 				return;
 			}
@@ -244,7 +244,7 @@
 			}
 
 			if (engine.isLost) {
-				this.#scheduler.lose(engine.traits.name);
+				this.#scheduler.markUnhealthy(engine.traits.name);
 				this.#retry(flow, leaseKey(flow));
 				return;
 			}
--- a/packages/standin/src/wire/sleeps.test.ts
+++ b/packages/standin/src/wire/sleeps.test.ts
@@ -60,8 +60,8 @@
 		this.#uptime = uptime;
 	}
 
-	steady(): number {
-		return machineSources.steady();
+	monotonic(): number {
+		return machineSources.monotonic();
 	}
 
 	wall(): number {
