--- a/packages/policy/src/core/ledger.ts
+++ b/packages/policy/src/core/ledger.ts
@@ -1,9 +1,9 @@
 /**
  * Deduplication table for requests that must not run twice. Safety: an entry
  * is removed only once its ticket has expired by this process's clock and its
- * work has ended, and no request starts with an expired ticket; a key can
- * therefore not start a second time. The right to run a request is lost with
- * this in-memory table and is never handed over to another process.
+ * work has ended, and no request starts with an expired ticket. The right to run
+ * a request is lost with this in-memory table and is never handed over to
+ * another process.
  */
 
 export type LedgerEntry<Job> = {
--- a/packages/policy/src/scheduler/lease-table.ts
+++ b/packages/policy/src/scheduler/lease-table.ts
@@ -19,12 +19,12 @@
 };
 
 /** Creates a lease from its holder's claim; fields that the claim lacks are empty or zero. */
-export function leaseFromClaim({request, attempt, stage, engine, prefillEngine, maxTokens, priority, caller}: LeaseClaim, now: number, lapsesAt: number): Lease {
+export function leaseFromClaim({request, attempt, stage, engine, prefillEngine, maxTokens, priority, caller}: LeaseClaim, now: number, resultExpiresAt: number): Lease {
 	const ask: LeaseAsk = {
 		request, attempt, caller, priority, promptTokens: 0, maxTokens, blocks: [], slackMs: 0, accepted: true,
 	};
 	return {
-		key: leaseKey(ask), ask, deadline: now, prefillEngine, hall: '', stage, readyAt: now, resultExpiresAt: lapsesAt, engine,
+		key: leaseKey(ask), ask, deadline: now, prefillEngine, hall: '', stage, readyAt: now, resultExpiresAt, engine,
 	};
 }
 
@@ -94,7 +94,7 @@
 
 	/** Leases whose prefill result is ready and has not expired, in order of deadline. */
 	listReady(now: number): Lease[] {
-		const ready = [...this.#leases.values()].filter(({stage, resultExpiresAt: lapsesAt}) => stage === 'ready' && lapsesAt > now);
+		const ready = [...this.#leases.values()].filter(({stage, resultExpiresAt}) => stage === 'ready' && resultExpiresAt > now);
 		return ready.toSorted((left, right) => left.deadline - right.deadline);
 	}
 
--- a/packages/policy/src/scheduler/scheduler.ts
+++ b/packages/policy/src/scheduler/scheduler.ts
@@ -93,7 +93,7 @@
 
 		const known = this.#queue.remove(key);
 		const waiting: QueuedRequest = {
-			ask, key, deadline: known?.deadline ?? now + ask.slackMs, since: known?.since ?? now, holdMs: this.#decode.expectedHoldMs(ask.priority, ask.maxTokens),
+			ask, key, deadline: known?.deadline ?? now + ask.slackMs, queuedAt: known?.queuedAt ?? now, holdMs: this.#decode.expectedHoldMs(ask.priority, ask.maxTokens),
 		};
 		const code = known === undefined ? this.#findRefusal(waiting, now) : undefined;
 		if (code === undefined) {
@@ -255,10 +255,10 @@
 	}
 
 	/** Whether a request would miss its deadline even with a free decode slot, or has waited too long for a usable engine. */
-	#isUnservable({ask, deadline, since}: QueuedRequest, now: number): boolean {
+	#isUnservable({ask, deadline, queuedAt}: QueuedRequest, now: number): boolean {
 		const estimate = this.#prefill.estimateBest(ask, now);
 		if (estimate === undefined || this.#decode.countSlots() === 0) {
-			return now - since > noEngineTimeoutMs;
+			return now - queuedAt > noEngineTimeoutMs;
 		}
 
 		return !ask.accepted && estimate.readyAt + estimate.transferMs + firstStepMs > deadline;
@@ -271,13 +271,13 @@
 	}
 
 	/** Whether the request is expected to miss its deadline, given the forecast of decode slots. */
-	#wouldMissDeadline({ask, deadline, since}: QueuedRequest, {readyAt, transferMs}: PrefillEstimate, now: number): boolean {
+	#wouldMissDeadline({ask, deadline, queuedAt}: QueuedRequest, {readyAt, transferMs}: PrefillEstimate, now: number): boolean {
 		if (ask.accepted) {
 			return false;
 		}
 
 		const slotAt = this.#forecastSlots(now).expectedSlotAt(readyAt);
-		const margin = marginShare * (deadline - since);
+		const margin = marginShare * (deadline - queuedAt);
 		return Math.max(readyAt, slotAt) + transferMs + firstStepMs + margin > deadline;
 	}
 
--- a/packages/policy/src/scheduler/waiting-queue.ts
+++ b/packages/policy/src/scheduler/waiting-queue.ts
@@ -18,7 +18,7 @@
 	readonly key: string;
 	/** Time by which the first token is due. */
 	readonly deadline: number;
-	readonly since: number;
+	readonly queuedAt: number;
 	/** Expected time that it will hold a decode slot, in milliseconds; estimated when it was asked. */
 	readonly holdMs: number;
 };
@@ -47,7 +47,7 @@
 function findOldest({entries}: Queue): QueuedRequest | undefined {
 	let oldest = entries[0];
 	for (const entry of entries) {
-		oldest = oldest === undefined || entry.since < oldest.since ? entry : oldest;
+		oldest = oldest === undefined || entry.queuedAt < oldest.queuedAt ? entry : oldest;
 	}
 
 	return oldest;
@@ -81,7 +81,7 @@
 		entries.splice(index, 0, waiting);
 		this.#size += 1;
 		const rank = effectivePriority(waiting.ask);
-		this.#lastServedAt.set(rank, Math.max(this.#lastServedAt.get(rank) ?? waiting.since, waiting.since - starvationMs));
+		this.#lastServedAt.set(rank, Math.max(this.#lastServedAt.get(rank) ?? waiting.queuedAt, waiting.queuedAt - starvationMs));
 	}
 
 	remove(key: string): QueuedRequest | undefined {
