--- a/packages/host/src/core/answer.ts
+++ b/packages/host/src/core/answer.ts
@@ -1,41 +1,42 @@
 /**
- * One request's answer as it grows: tokens in order, each once, then an end.
- * Safety: a token is taken only under its own number, so late, doubled or
- * crossed lines change nothing. Several connections may read one answer.
+ * Buffered token stream of one request: tokens in order, each once, followed
+ * by one end. Several readers may attach to it. Safety: a token is appended
+ * only if its number is the next one, so late, duplicate or out-of-order
+ * tokens are ignored.
  */
 import {type Failure} from '@gatehead/schema/failure';
 
-/** How an answer ended. */
+/** How a stream ended. */
 export type AnswerEnd
 	= | {readonly kind: 'whole'; readonly reason: 'stop' | 'length'}
 		| {readonly kind: 'failed'; readonly failure: Failure};
 
-/** Someone who reads an answer. */
+/** Receives the tokens and the end of a stream. */
 export type AnswerReader = {
 	onToken(n: number, text: string, position: string): void;
 	onEnd(end: AnswerEnd): void;
 };
 
-/** A growing answer. */
+/** Token stream of one request. */
 export class Answer {
 	readonly tokens: string[] = [];
-	/** Engine and attempt that now write, as `engine/attempt`, for event ids. */
+	/** Engine and attempt that produce the current tokens, as `engine/attempt`; part of the event ids. */
 	position = '';
 	readonly #readers = new Set<AnswerReader>();
-	readonly #onUnread: () => void;
+	readonly #onAbandoned: () => void;
 	#end: AnswerEnd | undefined;
 
-	/** `onUnread` is called when the last reader leaves before the end; the first `known` tokens are at the caller already. */
-	constructor(onUnread: () => void, known = 0) {
-		this.#onUnread = onUnread;
-		this.tokens.push(...Array.from<string>({length: known}).fill(''));
+	/** `onAbandoned` is called when the last reader detaches before the end. The first `knownTokens` tokens are empty strings, as the caller already has them. */
+	constructor(onAbandoned: () => void, knownTokens = 0) {
+		this.#onAbandoned = onAbandoned;
+		this.tokens.push(...Array.from<string>({length: knownTokens}).fill(''));
 	}
 
 	get end(): AnswerEnd | undefined {
 		return this.#end;
 	}
 
-	/** Adds the reader and gives it all tokens from number `from` on. */
+	/** Adds a reader and replays the tokens from number `from` on; a stream that has ended reports its end at once. */
 	attach(reader: AnswerReader, from = 0): void {
 		for (const [n, text] of this.tokens.entries()) {
 			if (n >= from) {
@@ -50,14 +51,14 @@
 		}
 	}
 
-	/** Takes a reader away. */
+	/** Removes a reader. */
 	detach(reader: AnswerReader): void {
 		if (this.#readers.delete(reader) && this.#readers.size === 0 && this.#end === undefined) {
-			this.#onUnread();
+			this.#onAbandoned();
 		}
 	}
 
-	/** Takes token number `n`; any but the next one is dropped. Returns whether it was taken. */
+	/** Appends token number `n` (zero-based) if it is the next one and the stream has not ended. Returns whether it was appended. */
 	take(n: number, text: string): boolean {
 		if (this.#end !== undefined || n !== this.tokens.length) {
 			return false;
@@ -71,7 +72,7 @@
 		return true;
 	}
 
-	/** Ends the answer; only the first end counts. */
+	/** Ends the stream; later calls have no effect. */
 	finish(end: AnswerEnd): void {
 		if (this.#end !== undefined) {
 			return;
--- a/packages/host/src/core/attempt.ts
+++ b/packages/host/src/core/attempt.ts
@@ -1,8 +1,9 @@
 /**
- * One attempt of a model request: prefill place, prefill, decode slot,
- * import, stream. Safety: tokens reach the answer only under this request,
- * this attempt and their own number; whatever the attempt may hold at an
- * engine when it ends early is cancelled until confirmed.
+ * One attempt of a model request: prefill lease, prefill, decode lease, KV
+ * cache import, token stream. Safety: a stream line is used only if it carries
+ * this request and attempt, and a token only under its own number; if the
+ * attempt ends early, engines that may hold its resources are sent cancels
+ * until they confirm.
  */
 import {type Engine} from '@gatehead/schema/bundle';
 import {type PrefillResult, type StreamLine} from '@gatehead/schema/engine-protocol';
@@ -16,227 +17,226 @@
 import {StallWatch} from './stall.js';
 import {type Run, type Work} from './work.js';
 
-const mostResumes = 2;
+const maxResumes = 2;
 
-/** What an attempt works with. */
 export type AttemptParts = {
 	readonly context: Context;
 	readonly client: EngineClient;
 	readonly canceller: Canceller;
 	readonly desk: LeaseDesk;
-	/** Finds an engine of the bundle in force. */
+	/** Finds an engine in the bundle in force. */
 	readonly findEngine: (name: string) => Engine | undefined;
 };
 
-/** How an attempt ended: `whole`, or `failed` where another attempt may follow. */
-export type AttemptEnd = 'whole' | 'failed';
+/** Outcome of an attempt; after `failed`, another attempt may follow. */
+export type AttemptOutcome = 'whole' | 'failed';
 
-/** Result of a prefill with the engine that holds it. */
-type Prefilled = {
+/** Prefill result and the engine that holds it. */
+type PrefilledResult = {
 	readonly engine: Engine;
 	readonly result: PrefillResult;
-	/** Own clock's instant at which the result lapses. */
-	readonly lapsesAt: number;
+	/** Time on the context's clock at which the engine discards the result, in milliseconds. */
+	readonly expiresAt: number;
 };
 
-/** One attempt. */
 export class Attempt {
 	readonly #parts: AttemptParts;
-	readonly #work: Work;
-	readonly #run: Run;
+	readonly #request: Work;
+	readonly #state: Run;
 	readonly #answer: Answer;
 	readonly #signal: AbortSignal;
 	readonly #number: number;
-	readonly #given: readonly string[];
-	/** Engines that may hold something of this attempt. */
+	/** Tokens of earlier attempts, which this attempt continues. */
+	readonly #previousTokens: readonly string[];
+	/** Engines that may hold resources of this attempt. */
 	readonly #holders = new Map<string, Engine>();
-	#isLeased = false;
+	#hasLease = false;
 
-	constructor(parts: AttemptParts, work: Work, run: Run, answer: Answer, signal: AbortSignal) {
+	constructor(parts: AttemptParts, request: Work, state: Run, answer: Answer, signal: AbortSignal) {
 		this.#parts = parts;
-		this.#work = work;
-		this.#run = run;
+		this.#request = request;
+		this.#state = state;
 		this.#answer = answer;
 		this.#signal = signal;
-		this.#number = run.attempts;
-		this.#given = [...answer.tokens];
+		this.#number = state.attempts;
+		this.#previousTokens = [...answer.tokens];
 	}
 
-	/** Runs the attempt to its end. Raises a refusal of the decisions as it is. */
-	async carryOut(): Promise<AttemptEnd> {
+	/** Executes the attempt. Throws the failure of the lease provider if it refuses a lease. */
+	async execute(): Promise<AttemptOutcome> {
 		try {
 			const prefilled = await this.#prefill();
-			const isWhole = prefilled !== undefined && await this.#decode(prefilled);
-			return isWhole ? 'whole' : 'failed';
+			const isComplete = prefilled !== undefined && await this.#decode(prefilled);
+			return isComplete ? 'whole' : 'failed';
 		} finally {
-			this.#clean();
+			this.#releaseResources();
 		}
 	}
 
 	get #lease() {
-		return {request: this.#work.id, attempt: this.#number};
+		return {request: this.#request.id, attempt: this.#number};
 	}
 
-	#note(kind: Parameters<Context['timeline']['note']>[0]['kind'], endpoint?: string, detail?: string): void {
+	#recordEvent(kind: Parameters<Context['timeline']['note']>[0]['kind'], endpoint?: string, detail?: string): void {
 		this.#parts.context.timeline.note({
-			kind, request: this.#work.id, attempt: this.#number, caller: this.#work.caller.name, endpoint, detail,
+			kind, request: this.#request.id, attempt: this.#number, caller: this.#request.caller.name, endpoint, detail,
 		});
 	}
 
-	#watch(): StallWatch {
+	#startStallTimer(): StallWatch {
 		const {clock, settings} = this.#parts.context;
 		return new StallWatch(clock, settings.timing.endpointStallMs, this.#signal);
 	}
 
-	#engine(name: string): Engine {
+	#getEngine(name: string): Engine {
 		return this.#parts.findEngine(name) ?? fail('endpointFault', {detail: `${name} is not in the bundle in force`});
 	}
 
-	#ask(): LeaseAsk {
-		const {id, caller, adapter, promptTokens, maxTokens, blocks, target, arrivedAt} = this.#work;
-		const given = this.#given.length;
+	#makeLeaseRequest(): LeaseAsk {
+		const {id, caller, adapter, promptTokens, maxTokens, blocks, target, arrivedAt} = this.#request;
+		const previousTokens = this.#previousTokens.length;
 		return {
 			request: id,
 			attempt: this.#number,
 			caller: caller.name,
 			priority: caller.priority,
 			adapter,
-			promptTokens: promptTokens + given,
-			maxTokens: maxTokens - given,
+			promptTokens: promptTokens + previousTokens,
+			maxTokens: maxTokens - previousTokens,
 			blocks: [...blocks],
 			slackMs: arrivedAt + target.ttftMs - this.#parts.context.clock.now(),
 			accepted: this.#number > 1,
 		};
 	}
 
-	#order() {
-		const {id, model, adapter, caller, prompt} = this.#work;
+	#makeEngineRequest() {
+		const {id, model, adapter, caller, prompt} = this.#request;
 		return {
-			request: id, attempt: this.#number, owner: this.#parts.context.self, model: model.name, adapter, priority: caller.priority, prompt, given: [...this.#given],
+			request: id, attempt: this.#number, owner: this.#parts.context.self, model: model.name, adapter, priority: caller.priority, prompt, given: [...this.#previousTokens],
 		};
 	}
 
-	async #prefill(): Promise<Prefilled | undefined> {
+	async #prefill(): Promise<PrefilledResult | undefined> {
 		const {desk, client, context: {clock, counters}} = this.#parts;
-		this.#note('asked');
-		const engine = this.#engine(await desk.askPrefill(this.#work.model.name, this.#ask(), this.#signal));
-		this.#isLeased = true;
-		this.#note('prefillGranted', engine.name);
+		this.#recordEvent('asked');
+		const engine = this.#getEngine(await desk.askPrefill(this.#request.model.name, this.#makeLeaseRequest(), this.#signal));
+		this.#hasLease = true;
+		this.#recordEvent('prefillGranted', engine.name);
 		counters.count('prefillStarted');
-		this.#run.hasLeft = true;
+		this.#state.hasLeft = true;
 		this.#holders.set(engine.name, engine);
-		const watch = this.#watch();
+		const timer = this.#startStallTimer();
 		try {
-			this.#note('prefillStarted', engine.name);
-			const answered = await client.prefill(engine.address, this.#order(), watch.signal);
+			this.#recordEvent('prefillStarted', engine.name);
+			const answered = await client.prefill(engine.address, this.#makeEngineRequest(), timer.signal);
 			if (answered.kind === 'refused') {
 				this.#holders.delete(engine.name);
-				this.#bounce(engine, answered.refusal.refused, false);
+				this.#reportFailure(engine, answered.refusal.refused, false);
 				return undefined;
 			}
 
-			this.#note('prefillEnded', engine.name);
-			return {engine, result: answered.result, lapsesAt: clock.now() + answered.result.holdMs};
+			this.#recordEvent('prefillEnded', engine.name);
+			return {engine, result: answered.result, expiresAt: clock.now() + answered.result.holdMs};
 		} catch (error) {
-			this.#bounce(engine, String(error), true);
+			this.#reportFailure(engine, String(error), true);
 			return undefined;
 		} finally {
-			watch.stop();
+			timer.stop();
 		}
 	}
 
-	/** Asks for slots until an engine takes the result, or the result lapses; a transfer that failed is tried again while it lives. */
-	async #decode(prefilled: Prefilled): Promise<boolean> {
+	/** Acquires decode leases until an engine imports the prefill result, or the result expires. */
+	async #decode(prefilled: PrefilledResult): Promise<boolean> {
 		for (;;) {
-			const engine = await this.#askSlot(prefilled);
+			const engine = await this.#acquireDecodeSlot(prefilled);
 			if (engine === undefined) {
-				this.#waste('lapsed');
+				this.#recordWastedPrefill('lapsed');
 				return false;
 			}
 
-			const taken = await this.#import(prefilled, engine);
-			if (taken !== 'again') {
-				return taken === 'whole';
+			const outcome = await this.#startDecode(prefilled, engine);
+			if (outcome !== 'retry') {
+				return outcome === 'whole';
 			}
 		}
 	}
 
-	async #askSlot({result, lapsesAt}: Prefilled): Promise<Engine | undefined> {
+	async #acquireDecodeSlot({result, expiresAt}: PrefilledResult): Promise<Engine | undefined> {
 		const {desk, context: {clock}} = this.#parts;
-		const watch = new StallWatch(clock, lapsesAt - clock.now(), this.#signal);
+		const timer = new StallWatch(clock, expiresAt - clock.now(), this.#signal);
 		try {
-			const name = await desk.askDecode(this.#lease, result.cachedTokens, lapsesAt - clock.now(), watch.signal);
-			this.#note('decodeGranted', name);
-			return this.#engine(name);
+			const name = await desk.askDecode(this.#lease, result.cachedTokens, expiresAt - clock.now(), timer.signal);
+			this.#recordEvent('decodeGranted', name);
+			return this.#getEngine(name);
 		} catch (error) {
-			if (this.#signal.aborted || !watch.signal.aborted) {
+			if (this.#signal.aborted || !timer.signal.aborted) {
 				throw error;
 			}
 
 			return undefined;
 		} finally {
-			watch.stop();
+			timer.stop();
 		}
 	}
 
-	async #import({engine: source, result}: Prefilled, engine: Engine): Promise<'whole' | 'again' | 'failed'> {
-		const watch = this.#watch();
+	async #startDecode({engine: source, result}: PrefilledResult, engine: Engine): Promise<'whole' | 'retry' | 'failed'> {
+		const timer = this.#startStallTimer();
 		this.#holders.set(engine.name, engine);
 		try {
 			const answered = await this.#parts.client.decode(engine.address, {
-				...this.#order(), source: {address: source.address, handle: result.handle}, maxTokens: this.#work.maxTokens,
-			}, watch.signal);
+				...this.#makeEngineRequest(), source: {address: source.address, handle: result.handle}, maxTokens: this.#request.maxTokens,
+			}, timer.signal);
 			if (answered.kind === 'refused') {
 				this.#holders.delete(engine.name);
-				this.#bounce(engine, answered.refusal.refused, false);
+				this.#reportFailure(engine, answered.refusal.refused, false);
 				if (answered.refusal.refused !== 'lapsed') {
-					return 'again';
+					return 'retry';
 				}
 
-				this.#waste(answered.refusal.refused);
+				this.#recordWastedPrefill(answered.refusal.refused);
 				return 'failed';
 			}
 
 			this.#holders.delete(source.name);
 			this.#parts.context.counters.count('prefillUsed');
-			return await this.#read(answered.result, engine, watch) ? 'whole' : 'failed';
+			return await this.#readWithResume(answered.result, engine, timer) ? 'whole' : 'failed';
 		} catch (error) {
-			this.#bounce(engine, String(error), true);
-			return this.#signal.aborted ? 'failed' : 'again';
+			this.#reportFailure(engine, String(error), true);
+			return this.#signal.aborted ? 'failed' : 'retry';
 		} finally {
-			watch.stop();
+			timer.stop();
 		}
 	}
 
-	/** Reads a stream; one that is cut is resumed at the same engine, as long as that still has it. */
-	async #read(lines: Lines, engine: Engine, watch: StallWatch): Promise<boolean> {
+	/** Reads a stream to its end, and resumes an interrupted one at the same engine up to `maxResumes` times. */
+	async #readWithResume(lines: Lines, engine: Engine, timer: StallWatch): Promise<boolean> {
 		let current: Lines | undefined = lines;
 		for (let resumes = 0; current !== undefined; resumes += 1) {
-			if (await this.#readLines(current, engine, watch)) {
+			if (await this.#readLines(current, engine, timer)) {
 				return true;
 			}
 
-			if (this.#signal.aborted || resumes >= mostResumes) {
+			if (this.#signal.aborted || resumes >= maxResumes) {
 				break;
 			}
 
 			current = await this.#resume(engine);
 		}
 
-		this.#bounce(engine, 'stream lost', true);
+		this.#reportFailure(engine, 'stream interrupted and not resumed', true);
 		return false;
 	}
 
-	async #readLines(lines: Lines, engine: Engine, watch: StallWatch): Promise<boolean> {
+	async #readLines(lines: Lines, engine: Engine, timer: StallWatch): Promise<boolean> {
 		try {
 			for await (const line of lines) {
-				watch.touch();
-				if (this.#takeLine(line, engine)) {
+				timer.touch();
+				if (this.#handleLine(line, engine)) {
 					return true;
 				}
 			}
 		} catch (error) {
-			this.#note('attemptFailed', engine.name, String(error));
+			this.#recordEvent('attemptFailed', engine.name, String(error));
 		}
 
 		return false;
@@ -244,40 +244,40 @@
 
 	async #resume(engine: Engine): Promise<Lines | undefined> {
 		const {client, context: {self, counters}} = this.#parts;
-		const watch = this.#watch();
+		const timer = this.#startStallTimer();
 		try {
 			const answered = await client.resume(engine.address, {
-				request: this.#work.id, attempt: this.#number, owner: self, from: this.#answer.tokens.length,
-			}, watch.signal);
+				request: this.#request.id, attempt: this.#number, owner: self, from: this.#answer.tokens.length,
+			}, timer.signal);
 			if (answered.kind === 'refused') {
 				return undefined;
 			}
 
 			counters.count('resumed');
-			this.#note('resumed', engine.name);
+			this.#recordEvent('resumed', engine.name);
 			return answered.result;
 		} catch {
 			return undefined;
 		} finally {
-			watch.stop();
+			timer.stop();
 		}
 	}
 
-	/** Takes one line; true at the stream's whole end. A line of another request or attempt is dropped. */
-	#takeLine(line: StreamLine, engine: Engine): boolean {
-		if (line.request !== this.#work.id || line.attempt !== this.#number) {
-			this.#parts.context.log('endpointFault', {endpoint: engine.name, detail: 'a line of another request'});
+	/** Handles one line; returns true once the stream is complete. Lines of another request or attempt are ignored. */
+	#handleLine(line: StreamLine, engine: Engine): boolean {
+		if (line.request !== this.#request.id || line.attempt !== this.#number) {
+			this.#parts.context.log('endpointFault', {endpoint: engine.name, detail: 'received a stream line of another request or attempt'});
 			return false;
 		}
 
 		if (line.kind === 'imported') {
 			this.#parts.desk.started(this.#lease);
-			this.#note('decodeStarted', engine.name);
+			this.#recordEvent('decodeStarted', engine.name);
 			return false;
 		}
 
 		if (line.kind === 'token') {
-			this.#takeToken(line.n, line.text, engine);
+			this.#appendToken(line.n, line.text, engine);
 			return false;
 		}
 
@@ -286,48 +286,48 @@
 		}
 
 		this.#holders.delete(engine.name);
-		this.#note('decodeEnded', engine.name);
+		this.#recordEvent('decodeEnded', engine.name);
 		this.#answer.finish({kind: 'whole', reason: line.reason});
 		return true;
 	}
 
-	#takeToken(n: number, text: string, engine: Engine): void {
+	#appendToken(n: number, text: string, engine: Engine): void {
 		const now = this.#parts.context.clock.now();
 		this.#answer.position = `${engine.name}/${this.#number}`;
 		if (!this.#answer.take(n, text)) {
 			return;
 		}
 
-		if (this.#run.firstTokenAt === undefined) {
-			this.#run.firstTokenAt = now;
-			this.#note('firstToken', engine.name);
+		if (this.#state.firstTokenAt === undefined) {
+			this.#state.firstTokenAt = now;
+			this.#recordEvent('firstToken', engine.name);
 		}
 
-		this.#run.lastTokenAt = now;
+		this.#state.lastTokenAt = now;
 	}
 
-	#bounce(engine: Engine, detail: string, isLost: boolean): void {
-		this.#note('attemptFailed', engine.name, detail);
+	#reportFailure(engine: Engine, detail: string, isLost: boolean): void {
+		this.#recordEvent('attemptFailed', engine.name, detail);
 		if (!this.#signal.aborted) {
 			this.#parts.desk.bounced(this.#lease, engine.name, isLost);
 		}
 	}
 
-	#waste(cause: string): void {
+	#recordWastedPrefill(cause: string): void {
 		this.#parts.context.counters.count('prefillWasted', cause);
-		this.#note('prefillWasted', undefined, cause);
+		this.#recordEvent('prefillWasted', undefined, cause);
 	}
 
-	/** Cancels where something may be held, and gives the lease back once nothing is. */
-	#clean(): void {
+	/** Sends cancels to engines that may hold resources, and releases the lease once all have confirmed. */
+	#releaseResources(): void {
 		const {desk, canceller} = this.#parts;
 		const lease = this.#lease;
-		const end = {tokens: this.#answer.tokens.length - this.#given.length, goodput: this.#answer.end?.kind === 'whole'};
+		const outcome = {tokens: this.#answer.tokens.length - this.#previousTokens.length, goodput: this.#answer.end?.kind === 'whole'};
 		const holders = [...this.#holders.values()];
 		const release = () => {
 			holders.pop();
-			if (this.#isLeased && holders.length === 0) {
-				desk.release(lease, end);
+			if (this.#hasLease && holders.length === 0) {
+				desk.release(lease, outcome);
 			}
 		};
 
@@ -343,7 +343,7 @@
 	}
 }
 
-/** The failure of a request whose attempts are spent. */
-export function attemptsSpent(run: Run): Failure {
-	return new Failure('attemptsSpent', {ran: run.hasLeft ? 'unknown' : 'no'});
+/** Creates the failure of a request that has no attempts left. */
+export function makeAttemptsSpentFailure(state: Run): Failure {
+	return new Failure('attemptsSpent', {ran: state.hasLeft ? 'unknown' : 'no'});
 }
--- a/packages/host/src/core/dispatch.ts
+++ b/packages/host/src/core/dispatch.ts
@@ -1,32 +1,32 @@
 /**
- * Carries out model requests: attempt after attempt until the answer is
- * whole, the caller is gone, or the attempts are spent. Safety: "not run" is
- * said only while nothing of the request was put on a socket.
+ * Executes model requests, retrying until the response is complete, the caller
+ * disconnects, or no attempts are left. Safety: a failure reports "not run"
+ * only if no part of the request was written to a socket.
  */
 import {Failure, toFailure} from '@gatehead/schema/failure';
 import {type Answer} from './answer.js';
-import {Attempt, attemptsSpent, type AttemptParts} from './attempt.js';
+import {Attempt, makeAttemptsSpentFailure, type AttemptParts} from './attempt.js';
 import {isGoodput, type Run, type Work} from './work.js';
 
-/** Carries out one request into `answer`; `signal` aborts when its caller is gone. */
-export async function dispatch(parts: AttemptParts, work: Work, answer: Answer, signal: AbortSignal, mostAttempts: number): Promise<void> {
-	const run: Run = {
+/** Executes one request and writes its tokens to `answer`; `signal` aborts when the caller disconnects. */
+export async function dispatch(parts: AttemptParts, modelRequest: Work, answer: Answer, signal: AbortSignal, maxAttempts: number): Promise<void> {
+	const state: Run = {
 		attempts: 0, hasLeft: false, firstTokenAt: undefined, lastTokenAt: undefined,
 	};
 	try {
-		await tryAttempts(parts, work, run, answer, signal, mostAttempts);
+		await tryAttempts(parts, modelRequest, state, answer, signal, maxAttempts);
 	} catch (error) {
-		answer.finish({kind: 'failed', failure: judge(error, run, signal)});
+		answer.finish({kind: 'failed', failure: toRequestFailure(error, state, signal)});
 	}
 
-	closeBooks(parts, work, run, answer);
+	recordOutcome(parts, modelRequest, state, answer);
 }
 
-async function tryAttempts(parts: AttemptParts, work: Work, run: Run, answer: Answer, signal: AbortSignal, mostAttempts: number): Promise<void> {
-	while (run.attempts < mostAttempts) {
-		run.attempts += 1;
+async function tryAttempts(parts: AttemptParts, modelRequest: Work, state: Run, answer: Answer, signal: AbortSignal, maxAttempts: number): Promise<void> {
+	while (state.attempts < maxAttempts) {
+		state.attempts += 1;
 		parts.context.counters.count('attempts');
-		const end = await new Attempt(parts, work, run, answer, signal).carryOut();
+		const end = await new Attempt(parts, modelRequest, state, answer, signal).execute();
 		if (end === 'whole') {
 			return;
 		}
@@ -36,17 +36,17 @@
 		}
 	}
 
-	throw attemptsSpent(run);
+	throw makeAttemptsSpentFailure(state);
 }
 
-/** The truth about a run that failed: a refusal stands as it is only while nothing has left. */
-function judge(error: unknown, run: Run, signal: AbortSignal): Failure {
+/** Converts an error to the request's failure: once the request may have been sent, "not run" becomes "unknown". */
+function toRequestFailure(error: unknown, state: Run, signal: AbortSignal): Failure {
 	if (signal.aborted) {
-		return new Failure('callerGone', {ran: run.hasLeft ? 'unknown' : 'no'});
+		return new Failure('callerGone', {ran: state.hasLeft ? 'unknown' : 'no'});
 	}
 
 	const failure = toFailure(error);
-	if (failure.ran !== 'no' || !run.hasLeft) {
+	if (failure.ran !== 'no' || !state.hasLeft) {
 		return failure;
 	}
 
@@ -55,9 +55,9 @@
 	});
 }
 
-function closeBooks({context: {counters, timeline}}: AttemptParts, work: Work, run: Run, answer: Answer): void {
+function recordOutcome({context: {counters, timeline}}: AttemptParts, modelRequest: Work, state: Run, answer: Answer): void {
 	const {end} = answer;
-	const {caller: {name: caller}, id: request} = work;
+	const {caller: {name: caller}, id: request} = modelRequest;
 	if (end?.kind === 'failed') {
 		const {code, ran} = end.failure;
 		counters.count(code === 'callerGone' ? 'cancelled' : 'refused', code);
@@ -72,10 +72,10 @@
 	}
 
 	const tokens = answer.tokens.length;
-	counters.count(isGoodput(work, run, tokens) ? 'goodputMet' : 'goodputMissed', caller);
-	counters.time('ttft', (run.firstTokenAt ?? 0) - work.arrivedAt);
+	counters.count(isGoodput(modelRequest, state, tokens) ? 'goodputMet' : 'goodputMissed', caller);
+	counters.time('ttft', (state.firstTokenAt ?? 0) - modelRequest.arrivedAt);
 	if (tokens > 1) {
-		counters.time('token', ((run.lastTokenAt ?? 0) - (run.firstTokenAt ?? 0)) / (tokens - 1));
+		counters.time('token', ((state.lastTokenAt ?? 0) - (state.firstTokenAt ?? 0)) / (tokens - 1));
 	}
 
 	timeline.note({kind: 'requestEnded', request, caller});
--- a/packages/host/src/core/lease-desk.ts
+++ b/packages/host/src/core/lease-desk.ts
@@ -1,35 +1,36 @@
 /**
- * Where a request gets its leases from: the one interface between carrying out a request and deciding on it.
- * Efficiency: a lease that is lost or given twice costs goodput; the engines refuse what does not fit.
+ * Interface between the execution of requests and the scheduler that grants leases.
+ * Leases are advisory: one that is lost or granted twice costs goodput only, as engines refuse work that does not fit.
  */
 import {type LeaseAsk} from '@gatehead/schema/peer-message';
 import {type Work} from './work.js';
 
-/** A lease's name. */
+/** Identity of a lease: one per attempt of a request. */
 export type LeaseName = {
 	readonly request: string;
 	readonly attempt: number;
 };
 
-/** How a decode ended, for the books of the decisions. */
+/** How an attempt ended, for the scheduler's accounting. */
 export type LeaseEnd = {
 	/** Tokens generated in this attempt. */
 	readonly tokens: number;
+	/** Whether the response is complete. */
 	readonly goodput: boolean;
 };
 
-/** Gives leases on prefill places and decode slots. */
+/** Grants leases on prefill and decode slots. */
 export type LeaseDesk = {
-	/** Waits for a prefill place; raises a numbered refusal. Returns the engine's name. */
+	/** Waits for a prefill slot and resolves with the engine's name; throws `Failure` if the lease is refused. */
 	askPrefill(model: string, ask: LeaseAsk, signal: AbortSignal): Promise<string>;
-	/** Says that the result is made and waits for a decode slot. Returns the engine's name. */
+	/** Reports that the prefill has ended, waits for a decode slot and resolves with the engine's name. The prefill result is held for `holdMs` milliseconds. */
 	askDecode(lease: LeaseName, cachedTokens: number, holdMs: number, signal: AbortSignal): Promise<string>;
-	/** Claims the decode slot of a stream whose owner is gone. */
+	/** Claims the decode slot of a stream whose owner has failed. */
 	takeOver(work: Work, lease: LeaseName, engine: string): void;
-	/** Says that the import is whole and tokens come. */
+	/** Reports that the KV cache is imported and decoding has started. */
 	started(lease: LeaseName): void;
-	/** Says that an engine did not take the work; `lost` where the engine seems to be gone. */
+	/** Reports that an engine refused the work or failed; `lost` if the engine seems unreachable. */
 	bounced(lease: LeaseName, engine: string, lost: boolean): void;
-	/** Gives back all that the lease holds. */
+	/** Releases the lease's slots. */
 	release(lease: LeaseName, end: LeaseEnd): void;
 };
--- a/packages/host/src/core/stall.ts
+++ b/packages/host/src/core/stall.ts
@@ -1,52 +1,49 @@
-/**
- * Ends a step that makes no progress: a timer on the injected clock that aborts the step's calls unless it is put back.
- * Efficiency: a watch that ends a step too early costs an attempt; what the step may hold is cancelled by its owner.
- */
+/** Progress timeout on the injected clock. */
 import {type Clock, type Timer} from '@gatehead/policy/utils/clock';
 
-/** Watches one step. */
+/** Aborts its signal after a time without progress. */
 export class StallWatch {
 	readonly #clock: Clock;
 	readonly #stallMs: number;
 	readonly #abort = new AbortController();
-	readonly #outer: AbortSignal;
-	readonly #onOuter: () => void;
+	readonly #parent: AbortSignal;
+	readonly #onParentAbort: () => void;
 	#timer: Timer;
 
-	/** `signal` aborts when `outer` does, or after `stallMs` without progress. */
-	constructor(clock: Clock, stallMs: number, outer: AbortSignal) {
+	/** `signal` aborts when `parent` does, or after `stallMs` without progress. */
+	constructor(clock: Clock, stallMs: number, parent: AbortSignal) {
 		this.#clock = clock;
 		this.#stallMs = stallMs;
-		this.#outer = outer;
-		this.#onOuter = () => {
+		this.#parent = parent;
+		this.#onParentAbort = () => {
 			this.#abort.abort();
 		};
 
-		outer.addEventListener('abort', this.#onOuter);
-		if (outer.aborted) {
+		parent.addEventListener('abort', this.#onParentAbort);
+		if (parent.aborted) {
 			this.#abort.abort();
 		}
 
-		this.#timer = this.#start();
+		this.#timer = this.#startTimer();
 	}
 
 	get signal(): AbortSignal {
 		return this.#abort.signal;
 	}
 
-	/** Notes progress. */
+	/** Restarts the timeout after progress. */
 	touch(): void {
 		this.#timer.stop();
-		this.#timer = this.#start();
+		this.#timer = this.#startTimer();
 	}
 
-	/** Ends the watch. */
+	/** Stops the timer; the signal is not aborted any more. */
 	stop(): void {
 		this.#timer.stop();
-		this.#outer.removeEventListener('abort', this.#onOuter);
+		this.#parent.removeEventListener('abort', this.#onParentAbort);
 	}
 
-	#start(): Timer {
+	#startTimer(): Timer {
 		return this.#clock.after(this.#stallMs, () => {
 			this.#abort.abort();
 		});
--- a/packages/host/src/core/ticket.ts
+++ b/packages/host/src/core/ticket.ts
@@ -1,7 +1,7 @@
 /**
- * Tickets: the right to run a request that may not be repeated, given to one
- * incarnation of one host. Safety: authenticated with the keys that the
- * hosts share by settings; only the named incarnation runs anything under it.
+ * Tickets for at-most-once requests. A ticket names the host incarnation that
+ * alone may run requests under it. Safety: tickets are authenticated by an
+ * HMAC with keys that all hosts share in their settings.
  */
 import {Buffer} from 'node:buffer';
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
@@ -17,31 +17,31 @@
 	host: z.string(), incarnation: z.number(), caller: z.string(), expires: z.number(), nonce: z.string(),
 });
 
-/** What a ticket says; `expires` is wall time in milliseconds. */
+/** Content of a ticket; `expires` is wall-clock time in milliseconds. */
 export type Ticket = z.infer<typeof ticketPayload>;
 
-/** A request's key: its ticket and the name that the caller chose under it. */
+/** Parsed Idempotency-Key header. */
 export type RequestKey = {
 	readonly ticket: Ticket;
-	/** The request's identity in the ledger. */
+	/** Ledger id of the request: made from the caller, the ticket's nonce and the name that the caller chose. */
 	readonly id: string;
 };
 
-function macOf(payload: string, key: string) {
+function computeMac(payload: string, key: string) {
 	return createHmac('sha256', Buffer.from(key, 'hex')).update(payload).digest().subarray(0, macBytes);
 }
 
-/** Writes a ticket, signed with the first of the shared keys. */
+/** Serializes a ticket, authenticated with the first of the shared keys. */
 export function writeTicket(ticket: Omit<Ticket, 'nonce'>, keys: readonly string[]): string {
 	const payload = Buffer.from(JSON.stringify({...ticket, nonce: randomBytes(nonceBytes).toString('base64url')})).toString('base64url');
-	return `${payload}.${macOf(payload, keys[0] ?? '').toString('base64url')}`;
+	return `${payload}.${computeMac(payload, keys[0] ?? '').toString('base64url')}`;
 }
 
-function isGenuine(payload: string, mac: string, keys: readonly string[]): boolean {
-	const given = Buffer.from(mac, 'base64url');
+function hasValidMac(payload: string, mac: string, keys: readonly string[]): boolean {
+	const received = Buffer.from(mac, 'base64url');
 	for (const key of keys) {
-		const expected = macOf(payload, key);
-		if (given.length === expected.length && timingSafeEqual(given, expected)) {
+		const expected = computeMac(payload, key);
+		if (received.length === expected.length && timingSafeEqual(received, expected)) {
 			return true;
 		}
 	}
@@ -49,27 +49,27 @@
 	return false;
 }
 
-/** Reads a ticket or raises `ticketWrong`. Any of the shared keys may have signed it, so that keys can be rolled. */
+/** Parses and verifies a ticket; throws `ticketWrong`. Any of the shared keys is accepted, so that keys can be rotated. */
 export function readTicket(text: string, caller: string, keys: readonly string[]): Ticket {
 	const {payload, mac} = ticketPattern.exec(text)?.groups ?? {};
-	if (payload === undefined || mac === undefined || !isGenuine(payload, mac, keys)) {
+	if (payload === undefined || mac === undefined || !hasValidMac(payload, mac, keys)) {
 		fail('ticketWrong');
 	}
 
 	const ticket = ticketPayload.parse(JSON.parse(Buffer.from(payload, 'base64url').toString('utf8')));
 	if (ticket.caller !== caller) {
-		fail('ticketWrong', {detail: 'the ticket was given to another caller'});
+		fail('ticketWrong', {detail: 'the ticket was issued to another caller'});
 	}
 
 	return ticket;
 }
 
-/** Reads `TICKET~NAME` or raises a numbered error. */
+/** Parses `TICKET~NAME`; throws `headerInvalid` or `ticketWrong`. */
 export function readKey(header: string, caller: string, keys: readonly string[]): RequestKey {
 	const tilde = header.lastIndexOf('~');
 	const name = header.slice(tilde + 1);
 	if (tilde < 0 || !namePattern.test(name)) {
-		fail('headerInvalid', {detail: 'Idempotency-Key: TICKET~NAME with a NAME of up to 64 letters, digits, - and _'});
+		fail('headerInvalid', {detail: 'Idempotency-Key must be TICKET~NAME, with a NAME of up to 64 letters, digits, - and _'});
 	}
 
 	const ticket = readTicket(header.slice(0, tilde), caller, keys);
--- a/packages/host/src/core/work.ts
+++ b/packages/host/src/core/work.ts
@@ -1,10 +1,10 @@
 /**
- * A model request as it is carried out, and the books of one run of it.
- * Safety: `hasLeft` decides whether a refusal may say "not run".
+ * A model request and the state of its execution.
+ * Safety: `hasLeft` decides whether a failure may report "not run".
  */
 import {type Caller, type Model, type Target} from '@gatehead/schema/bundle';
 
-/** A checked request. */
+/** A validated model request. */
 export type Work = {
 	readonly id: string;
 	readonly caller: Caller;
@@ -15,20 +15,20 @@
 	readonly blocks: readonly string[];
 	readonly maxTokens: number;
 	readonly target: Target;
-	/** Own clock's instant of arrival. */
+	/** Arrival time on the context's clock, in milliseconds. */
 	readonly arrivedAt: number;
 };
 
-/** What happened so far: attempts started, first and last token's instants. */
+/** State of an execution; times are on the context's clock, in milliseconds. */
 export type Run = {
 	attempts: number;
-	/** True once an order for this request was put on a socket. */
+	/** True from just before the first call to an engine for this request. */
 	hasLeft: boolean;
 	firstTokenAt: number | undefined;
 	lastTokenAt: number | undefined;
 };
 
-/** Whether a whole answer met both latency targets. */
+/** Whether a complete response met the targets for time to first token and time per output token. */
 export function isGoodput({target, arrivedAt}: Work, {firstTokenAt, lastTokenAt}: Run, tokens: number): boolean {
 	if (firstTokenAt === undefined || lastTokenAt === undefined || firstTokenAt - arrivedAt > target.ttftMs) {
 		return false;
