--- a/packages/host/bin/gatehead.js
+++ b/packages/host/bin/gatehead.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-/** The `gatehead` binary; it stands here so that npm links it before the first build. */
+/** Entry point of the `gatehead` command. Kept outside dist so that npm can link it before the first build. */
 import '../dist/main.js';
--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The `gatehead` binary: one process on an entry host. Neither safety nor efficiency rests here. */
+/** Command line of `gatehead`, the router process of a host. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import yargs from 'yargs';
@@ -10,11 +10,11 @@
 import {fail, toFailure} from '@gatehead/schema/failure';
 import {settings, type Settings} from '@gatehead/schema/settings';
 import {Host} from './host.js';
-import {openLog} from './utils/log.js';
+import {createLog} from './utils/log.js';
 
 const version = '0.1.0';
 const exitInvalid = 2;
-const exitFault = 1;
+const exitFailure = 1;
 
 function readSettings(path: string): Settings {
 	let text: string;
@@ -29,7 +29,7 @@
 
 async function run(checked: Settings): Promise<void> {
 	const host = new Host({
-		settings: checked, clock: systemClock, random: systemRandom, wall: () => Date.now(), log: openLog(checked),
+		settings: checked, clock: systemClock, random: systemRandom, wall: () => Date.now(), log: createLog(checked),
 	});
 	const stop = async () => {
 		await host.stop();
@@ -46,7 +46,7 @@
 }
 
 async function main(): Promise<void> {
-	const {settings: path, check: isCheck} = await yargs(hideBin(process.argv))
+	const {settings: path, check: isCheckOnly} = await yargs(hideBin(process.argv))
 		.scriptName('gatehead')
 		.usage('$0 --settings FILE\n\nRoutes model requests to prefill and decode pools. One process runs on each entry host.')
 		.option('settings', {type: 'string', demandOption: true, describe: 'settings in JSON; docs/CONFIGURATION.md lists them'})
@@ -56,7 +56,7 @@
 		.help()
 		.parse();
 	const checked = readSettings(path);
-	if (isCheck) {
+	if (isCheckOnly) {
 		process.stdout.write(`settings of ${checked.host} are valid\n`);
 		return;
 	}
@@ -69,5 +69,5 @@
 } catch (error) {
 	const failure = toFailure(error);
 	process.stderr.write(`${failure.message.replaceAll('; ', '\n  ')}\n`);
-	process.exitCode = failure.code === 'settingsInvalid' || failure.code === 'fileUnreadable' ? exitInvalid : exitFault;
+	process.exitCode = failure.code === 'settingsInvalid' || failure.code === 'fileUnreadable' ? exitInvalid : exitFailure;
 }
--- a/packages/host/src/utils/counters.ts
+++ b/packages/host/src/utils/counters.ts
@@ -1,9 +1,9 @@
-/** Counters and timings of one process: kept for the administration interface and sent as StatsD datagrams by hot-shots. Neither safety nor efficiency rests here. */
+/** Metrics of one process: counters for the administration interface; counters and timings are sent to StatsD. */
 import {ignore} from '@gatehead/policy/utils/ignore';
 import {StatsD} from 'hot-shots';
 import {splitAddress} from '@gatehead/schema/address';
 
-/** Every metric's name; docs/METRICS.md is checked against it by a test. */
+/** Names of the metrics on the wire; docs/METRICS.md is checked against them by a test. */
 export const metricNames = {
 	accepted: 'requests.accepted',
 	refused: 'requests.refused',
@@ -36,10 +36,9 @@
 	token: 'timing.token_ms',
 } as const;
 
-/** A metric. */
 export type Metric = keyof typeof metricNames;
 
-/** Counters of one process. */
+/** Counters and timings of one process; without a StatsD address, nothing is sent. */
 export class Counters {
 	readonly #client: StatsD | undefined;
 	readonly #counts = new Map<string, number>();
@@ -55,7 +54,7 @@
 		});
 	}
 
-	/** Adds to a counter; `tag` splits it by code, caller or cause. */
+	/** Adds to a counter; `tag` is the code, caller or cause to count it under. */
 	count(metric: Metric, tag?: string, amount = 1): void {
 		const name = metricNames[metric];
 		const key = tag === undefined ? name : `${name}{${tag}}`;
@@ -68,12 +67,12 @@
 		this.#client?.timing(metricNames[metric], milliseconds);
 	}
 
-	/** All counters by name. */
+	/** All counters by metric name, or by `name{tag}` if tagged. */
 	list(): Record<string, number> {
 		return Object.fromEntries([...this.#counts].toSorted(([left], [right]) => (left < right ? -1 : 1)));
 	}
 
-	/** Closes the socket. */
+	/** Closes the StatsD socket. */
 	close(): void {
 		this.#client?.close(ignore);
 	}
--- a/packages/host/src/utils/hybrid-clock.ts
+++ b/packages/host/src/utils/hybrid-clock.ts
@@ -1,9 +1,9 @@
-/** A hybrid logical clock: wall time that never goes back and passes any stamp received, so that a cause sorts before its effect. Neither safety nor efficiency rests here: no time-out follows it. */
+/** Hybrid logical clock: timestamps follow the wall clock, never decrease, and exceed every timestamp received, so that causes sort before their effects. Not for timeouts. */
 
 const wallDigits = 14;
 const logicalDigits = 6;
 
-/** One process's clock. A stamp is `wall ms.logical.host`, ordered as text. */
+/** Clock of one process. A timestamp is `<wall-clock ms>.<logical counter>.<host>`, zero-padded so that text order is time order. */
 export class HybridClock {
 	readonly #host: string;
 	readonly #wall: () => number;
@@ -15,7 +15,7 @@
 		this.#wall = wall;
 	}
 
-	/** A stamp later than all before it. */
+	/** Returns a timestamp greater than all returned or received before. */
 	stamp(): string {
 		const wall = Math.floor(this.#wall());
 		if (wall > this.#last) {
@@ -28,7 +28,7 @@
 		return `${String(this.#last).padStart(wallDigits, '0')}.${String(this.#logical).padStart(logicalDigits, '0')}.${this.#host}`;
 	}
 
-	/** Moves past a stamp that came with a message. */
+	/** Advances the clock to at least a timestamp received from a peer. */
 	receive(stamp: string): void {
 		const [wall, logical] = stamp.split('.');
 		const received = Number(wall);
--- a/packages/host/src/utils/listen.ts
+++ b/packages/host/src/utils/listen.ts
@@ -1,9 +1,9 @@
-/** Binds an HTTP server to one of the process's own addresses. Neither safety nor efficiency rests here. */
+/** Binds HTTP servers to addresses. */
 import {type Server} from 'node:http';
 import {joinAddress, splitAddress} from '@gatehead/schema/address';
 import {Failure} from '@gatehead/schema/failure';
 
-/** Starts to listen; resolves with the bound address, whose port the system chose where the wanted one is 0. */
+/** Starts listening and resolves with the bound address; with port 0 the system chooses the port. Throws `addressInUse`. */
 export async function listenAt(server: Server, address: string): Promise<string> {
 	const {ip, port} = splitAddress(address);
 	await new Promise<void>((resolve, reject) => {
--- a/packages/host/src/utils/timeline.ts
+++ b/packages/host/src/utils/timeline.ts
@@ -1,42 +1,42 @@
-/** The process's bounded ring of typed events. Holds no token and no prompt. Neither safety nor efficiency rests here. */
+/** Ring buffer of the latest events of a process. Events never contain prompts or generated tokens. */
 import {type Event} from '@gatehead/schema/event';
 import {type HybridClock} from './hybrid-clock.js';
 
-/** What a task notes; stamp and host are added here. */
+/** An event without its timestamp and host, which the timeline adds. */
 export type Note = Omit<Event, 'clock' | 'host'>;
 
-/** A ring of the newest events. */
+/** Keeps up to `capacity` events. */
 export class Timeline {
-	/** Events that no longer fit, so that a reader knows of the gap. */
+	/** Number of events overwritten, so that readers can detect gaps. */
 	dropped = 0;
 	readonly #host: string;
 	readonly #clock: HybridClock;
-	readonly #most: number;
+	readonly #capacity: number;
 	readonly #events: Event[] = [];
-	#first = 0;
+	#oldest = 0;
 
-	constructor(host: string, clock: HybridClock, most: number) {
+	constructor(host: string, clock: HybridClock, capacity: number) {
 		this.#host = host;
 		this.#clock = clock;
-		this.#most = most;
+		this.#capacity = capacity;
 	}
 
-	/** Adds an event. */
+	/** Adds an event, and drops the oldest one if the buffer is full. */
 	note(note: Note): void {
 		const event: Event = {clock: this.#clock.stamp(), host: this.#host, ...note};
-		if (this.#events.length < this.#most) {
+		if (this.#events.length < this.#capacity) {
 			this.#events.push(event);
 			return;
 		}
 
-		this.#events[this.#first] = event;
-		this.#first = (this.#first + 1) % this.#most;
+		this.#events[this.#oldest] = event;
+		this.#oldest = (this.#oldest + 1) % this.#capacity;
 		this.dropped += 1;
 	}
 
-	/** Events later than a stamp, oldest first. */
+	/** Events after a timestamp, oldest first. */
 	listAfter(stamp: string): Event[] {
-		const ordered = [...this.#events.slice(this.#first), ...this.#events.slice(0, this.#first)];
+		const ordered = [...this.#events.slice(this.#oldest), ...this.#events.slice(0, this.#oldest)];
 		return ordered.filter(each => each.clock > stamp);
 	}
 }
