--- a/packages/host/src/admin/admin-front.ts
+++ b/packages/host/src/admin/admin-server.ts
@@ -1,6 +1,6 @@
 /**
- * The administration interface: reads only, for operators who prove who they
- * are, by token or by mutual TLS. Safety: nothing here changes anything.
+ * Administration interface for operators, authenticated by token, mutual TLS
+ * or both. Safety: all routes are read-only.
  */
 import {timingSafeEqual} from 'node:crypto';
 import {Buffer} from 'node:buffer';
@@ -19,25 +19,24 @@
 import {type Keeper} from '../keeper/keeper.js';
 import {type Membership} from '../peer/membership.js';
 
-/** What the interface reads. */
-export type AdminParts = {
+export type AdminOptions = {
 	readonly context: Context;
 	readonly bundles: BundleStore;
 	readonly membership: Membership;
 	readonly keeper: Keeper;
 	readonly isReady: () => boolean;
-	readonly countOpen: () => number;
-	readonly isConfigurationDown: () => boolean;
+	readonly countInFlight: () => number;
+	readonly isConfigurationUnavailable: () => boolean;
 };
 
-type Reader = (parts: AdminParts, url: URL) => unknown;
+type RouteHandler = (options: AdminOptions, url: URL) => unknown;
 
-/** Settings as operators may see them: without keys. */
-function withoutSecrets({keys, ...rest}: Settings): unknown {
+/** Replaces the keys in the settings with the number of ticket keys, the operators' names and whether TLS is configured. */
+function redactSettings({keys, ...rest}: Settings): unknown {
 	return {...rest, keys: {tickets: keys.tickets.length, operators: keys.operators.map(each => each.name), hasTls: keys.tls !== undefined}};
 }
 
-function describeBundle({bundles, context}: AdminParts): unknown {
+function describeBundle({bundles, context}: AdminOptions): unknown {
 	const {inForce} = bundles;
 	if (inForce === undefined) {
 		return {
@@ -45,22 +44,22 @@
 		};
 	}
 
-	const {bundle: {version, deployment}, manifestDigest, sinceWall, since} = inForce;
+	const {bundle: {version, deployment}, manifestDigest, adoptedAtWall, adoptedAt} = inForce;
 	return {
-		deployment, version, digest: manifestDigest, since: new Date(sinceWall).toISOString(), forMs: Math.round(context.clock.now() - since),
+		deployment, version, digest: manifestDigest, since: new Date(adoptedAtWall).toISOString(), forMs: Math.round(context.clock.now() - adoptedAt),
 	};
 }
 
-function describeStatus(parts: AdminParts): unknown {
-	const {context: {self, settings}, membership, keeper, isReady, countOpen, isConfigurationDown} = parts;
+function describeStatus(options: AdminOptions): unknown {
+	const {context: {self, settings}, membership, keeper, isReady, countInFlight, isConfigurationUnavailable} = options;
 	return {
 		...self,
 		hall: settings.hall,
 		isReady: isReady(),
 		state: membership.members.self.state,
-		bundle: describeBundle(parts),
-		isConfigurationDown: isConfigurationDown(),
-		open: countOpen(),
+		bundle: describeBundle(options),
+		isConfigurationDown: isConfigurationUnavailable(),
+		open: countInFlight(),
 		members: membership.members.list().map(({host, state, hall, incarnation, load}) => ({
 			host, state, hall, incarnation, load,
 		})),
@@ -68,8 +67,8 @@
 	};
 }
 
-/** Splits counters that carry a caller into a row for each caller, with its member. */
-function describeUsage({context, bundles}: AdminParts): unknown {
+/** Groups the counters that are tagged with a caller by caller. */
+function describeUsage({context, bundles}: AdminOptions): unknown {
 	const usage = new Map<string, Record<string, number>>();
 	for (const [name, amount] of Object.entries(context.counters.list())) {
 		const {metric, tag} = /^(?<metric>[^\{]+)\{(?<tag>[^\}]+)\}$/v.exec(name)?.groups ?? {};
@@ -84,8 +83,8 @@
 	})) ?? [];
 }
 
-/** Every route with what it reads; docs/API.md lists them with units. */
-export const adminRoutes: Readonly<Record<string, Reader>> = {
+/** Routes with their handlers; docs/API.md documents the responses. */
+export const adminRoutes: Readonly<Record<string, RouteHandler>> = {
 	'/v1/health': ({context}) => ({host: context.self.host, ok: true}),
 	'/v1/ready': ({isReady}) => (isReady() ? {ready: true} : fail('notReady', {retryAfterMs: 1000})),
 	'/v1/status': describeStatus,
@@ -94,37 +93,37 @@
 	'/v1/leases': ({keeper}) => keeper.describe(),
 	'/v1/usage': describeUsage,
 	'/v1/counters': ({context}) => context.counters.list(),
-	'/v1/settings': ({context}) => withoutSecrets(context.settings),
+	'/v1/settings': ({context}) => redactSettings(context.settings),
 	'/v1/timeline': ({context}, url) => ({
 		host: context.self.host, dropped: context.timeline.dropped, events: context.timeline.listAfter(url.searchParams.get('after') ?? ''),
 	}),
 };
 
-/** Serves operators. */
-export class AdminFront {
-	readonly #parts: AdminParts;
+/** HTTP server of the administration interface. */
+export class AdminServer {
+	readonly #options: AdminOptions;
 	readonly #server: Server;
 
-	constructor(parts: AdminParts) {
-		this.#parts = parts;
-		const answer = (request: IncomingMessage, response: ServerResponse) => {
-			this.#answer(request, response);
+	constructor(options: AdminOptions) {
+		this.#options = options;
+		const handle = (request: IncomingMessage, response: ServerResponse) => {
+			this.#handle(request, response);
 		};
 
-		const {tls} = parts.context.settings.keys;
+		const {tls} = options.context.settings.keys;
 		this.#server = tls === undefined
-			? createServer(answer)
+			? createServer(handle)
 			: createTlsServer({
 				ca: readFileSync(tls.ca), cert: readFileSync(tls.certificate), key: readFileSync(tls.key), requestCert: true, rejectUnauthorized: true,
-			}, answer);
+			}, handle);
 	}
 
-	/** Starts to listen; resolves with the bound address. */
+	/** Starts listening and resolves with the bound address. */
 	async listen(): Promise<string> {
-		return listenAt(this.#server, this.#parts.context.settings.listen.admin);
+		return listenAt(this.#server, this.#options.context.settings.listen.admin);
 	}
 
-	/** Stops. */
+	/** Stops listening and closes all connections. */
 	async close(): Promise<void> {
 		const closed = new Promise<void>(resolve => {
 			this.#server.close(() => {
@@ -135,26 +134,26 @@
 		await closed;
 	}
 
-	#answer(request: IncomingMessage, response: ServerResponse): void {
+	#handle(request: IncomingMessage, response: ServerResponse): void {
 		try {
 			this.#authenticate(request);
 			const url = new URL(request.url ?? '/', 'http://host');
-			const reader = request.method === 'GET' ? adminRoutes[url.pathname] : undefined;
-			sendJson(response, 200, (reader ?? fail('routeUnknown'))(this.#parts, url));
+			const handler = request.method === 'GET' ? adminRoutes[url.pathname] : undefined;
+			sendJson(response, 200, (handler ?? fail('routeUnknown'))(this.#options, url));
 		} catch (error) {
 			sendFailure(response, toFailure(error));
 		}
 	}
 
-	/** With a token digest in the settings the token is asked for, with TLS besides the certificate. */
+	/** Checks the bearer token if the settings hold a token digest. Client certificates are checked by the TLS server. */
 	#authenticate({headers}: IncomingMessage): void {
-		const {adminTokenDigest} = this.#parts.context.settings.keys;
+		const {adminTokenDigest} = this.#options.context.settings.keys;
 		if (adminTokenDigest === undefined) {
 			return;
 		}
 
-		const given = digestOf(headers.authorization?.replace(/^Bearer /v, '') ?? '');
-		if (!timingSafeEqual(Buffer.from(given), Buffer.from(adminTokenDigest))) {
+		const received = digestOf(headers.authorization?.replace(/^Bearer /v, '') ?? '');
+		if (!timingSafeEqual(Buffer.from(received), Buffer.from(adminTokenDigest))) {
 			fail('peerRefused');
 		}
 	}
--- a/packages/host/src/core/bundle-store.ts
+++ b/packages/host/src/core/bundle-store.ts
@@ -1,7 +1,8 @@
 /**
- * The bundle in force in this process. Safety: it changes only to a validly
- * signed bundle of a higher version; at one version with two contents the
- * greater manifest digest wins on every host alike, with an alarm.
+ * Holds the bundle in force. Safety: it is replaced only by a bundle with a
+ * valid signature and a higher version. Of two bundles with the same version,
+ * the one with the greater manifest digest wins on every host, and the
+ * conflict is logged.
  */
 import {type Bundle} from '@gatehead/schema/bundle';
 import {digestOf} from '@gatehead/schema/canonical-json';
@@ -11,21 +12,21 @@
 } from '@gatehead/schema/signed-bundle';
 import {type Context} from './context.js';
 
-/** A bundle in force. */
+/** An adopted bundle. */
 export type InForce = {
 	readonly bundle: Bundle;
 	readonly signed: SignedBundle;
 	readonly manifestDigest: string;
-	/** Own clock's instant of adoption. */
-	readonly since: number;
-	/** Wall time of adoption, for people. */
-	readonly sinceWall: number;
+	/** Time of adoption on the context's clock, in milliseconds. */
+	readonly adoptedAt: number;
+	/** Wall-clock time of adoption in milliseconds, for display only. */
+	readonly adoptedAtWall: number;
 };
 
-/** What became of an offer. */
+/** Result of offering a bundle; `known` if it is already in force. */
 export type OfferOutcome = 'adopted' | 'known' | 'refused';
 
-/** Holds the bundle in force and tells who asked to be told. */
+/** Validates and adopts bundles, and notifies listeners of each adoption. */
 export class BundleStore {
 	readonly #context: Context;
 	readonly #keys: readonly OperatorKey[];
@@ -41,26 +42,26 @@
 		return this.#inForce;
 	}
 
-	/** Version in force, 0 where there is none. */
+	/** Version in force; 0 if no bundle has been adopted. */
 	get version(): number {
 		return this.#inForce?.bundle.version ?? 0;
 	}
 
-	/** Calls `listener` at each adoption. */
+	/** Adds a listener that is called after each adoption. */
 	onAdopted(listener: (inForce: InForce) => void): void {
 		this.#listeners.push(listener);
 	}
 
-	/** Whether a manifest would be adopted, by signature and version, before its sections are fetched. */
+	/** Whether a manifest would supersede the bundle in force, so that its sections are worth fetching. Throws if its signature is not valid. */
 	isWanted(signed: Pick<SignedBundle, 'manifest' | 'key' | 'signature'>): boolean {
 		const opened = openManifest(signed, this.#keys);
 		return opened.version > this.version || (opened.version === this.version && digestOf(signed.manifest) > (this.#inForce?.manifestDigest ?? ''));
 	}
 
-	/** Adopts a signed bundle if it goes before the one in force. */
+	/** Adopts a signed bundle if it supersedes the one in force. An invalid bundle is logged and refused, not thrown. */
 	offer(signed: SignedBundle): OfferOutcome {
 		try {
-			return this.#weigh(signed);
+			return this.#validateAndAdopt(signed);
 		} catch (error) {
 			const {code, detail} = toFailure(error, 'bundleInvalid');
 			this.#context.log(code, {detail});
@@ -69,7 +70,7 @@
 		}
 	}
 
-	#weigh(signed: SignedBundle): OfferOutcome {
+	#validateAndAdopt(signed: SignedBundle): OfferOutcome {
 		const {settings} = this.#context;
 		const manifestDigest = digestOf(signed.manifest);
 		if (manifestDigest === this.#inForce?.manifestDigest) {
@@ -78,7 +79,7 @@
 
 		const bundle = openBundle(signed, this.#keys);
 		if (bundle.deployment !== settings.deployment) {
-			this.#context.log('bundleInvalid', {detail: `bundle of deployment ${bundle.deployment}`});
+			this.#context.log('bundleInvalid', {detail: `bundle belongs to deployment ${bundle.deployment}`});
 			return 'refused';
 		}
 
@@ -94,7 +95,7 @@
 		}
 
 		this.#adopt({
-			bundle, signed, manifestDigest, since: this.#context.clock.now(), sinceWall: this.#context.wall(),
+			bundle, signed, manifestDigest, adoptedAt: this.#context.clock.now(), adoptedAtWall: this.#context.wall(),
 		});
 		return 'adopted';
 	}
--- a/packages/host/src/core/canceller.ts
+++ b/packages/host/src/core/canceller.ts
@@ -1,50 +1,51 @@
 /**
- * Cancels at engines, repeated until the engine confirms that it holds
- * nothing. Safety: "no memory held for a caller who is gone" rests on this
- * while the owner lives, and on the keeper's orphan search after that.
+ * Sends cancels to engines, and retries each until the engine confirms that it
+ * holds nothing of the request. Safety: "no memory held for a caller who is
+ * gone" rests on this while the owning process runs, and on the keeper's
+ * orphan search after that.
  */
 import {type EngineClient} from './engine-client.js';
 import {type Context} from './context.js';
 
-const firstRetryMs = 100;
-const longestRetryMs = 5000;
-const answerMs = 2000;
-const freshMs = 10_000;
+const minRetryMs = 100;
+const maxRetryMs = 5000;
+const callTimeoutMs = 2000;
+/** Age up to which a graceful shutdown waits for a pending cancel. */
+const shutdownWaitMs = 10_000;
 
-/** What to cancel, and where. */
+/** A cancel to send. */
 export type Cancellation = {
 	readonly engine: string;
 	readonly address: string;
 	readonly request: string;
-	/** This attempt and all before it. */
+	/** Last attempt to cancel; earlier ones are cancelled as well. */
 	readonly attempt: number;
-	/** Called once the engine confirmed. */
+	/** Called once the engine has confirmed, or is no longer in the bundle. */
 	readonly confirmed?: () => void;
 };
 
-/** Cancels in work. */
 export class Canceller {
 	readonly #context: Context;
 	readonly #client: EngineClient;
 	readonly #isKnown: (engine: string) => boolean;
-	/** Cancels not yet confirmed, with the instant of their first sending. */
+	/** Unconfirmed cancels with the time at which each was first sent. */
 	readonly #pending = new Map<Cancellation, number>();
 	#isClosed = false;
 
-	/** `isKnown` says whether an engine is still in the bundle; one that is not cannot be asked any more. */
+	/** `isKnown` returns whether an engine is in the bundle in force; cancels to any other engine count as confirmed. */
 	constructor(context: Context, client: EngineClient, isKnown: (engine: string) => boolean) {
 		this.#context = context;
 		this.#client = client;
 		this.#isKnown = isKnown;
 	}
 
-	/** Cancels that a planned stop waits for; older ones are at engines that do not answer, and are left to the keepers' orphan search. */
-	countFresh(): number {
+	/** Number of cancels that a graceful shutdown waits for. Older ones went to engines that do not respond, and are left to the keepers' orphan search. */
+	countAwaited(): number {
 		const now = this.#context.clock.now();
-		return [...this.#pending.values()].filter(since => now - since < freshMs).length;
+		return [...this.#pending.values()].filter(since => now - since < shutdownWaitMs).length;
 	}
 
-	/** Cancels until it is confirmed. */
+	/** Sends a cancel and retries it until it is confirmed. Does nothing if the same cancel is pending. */
 	cancel(cancellation: Cancellation): void {
 		for (const {engine, request, attempt} of this.#pending.keys()) {
 			if (engine === cancellation.engine && request === cancellation.request && attempt === cancellation.attempt) {
@@ -54,21 +55,21 @@
 
 		this.#pending.set(cancellation, this.#context.clock.now());
 		this.#context.counters.count('cancelsSent');
-		void this.#send(cancellation, firstRetryMs);
+		void this.#attempt(cancellation, minRetryMs);
 	}
 
-	/** Stops retries; used when the process ends. */
+	/** Stops all retries. */
 	close(): void {
 		this.#isClosed = true;
 	}
 
-	async #send(cancellation: Cancellation, retryMs: number): Promise<void> {
+	async #attempt(cancellation: Cancellation, retryMs: number): Promise<void> {
 		const {timeline, counters, clock} = this.#context;
 		const {request, attempt, engine} = cancellation;
 		timeline.note({
 			kind: 'cancelSent', request, attempt, endpoint: engine,
 		});
-		if (!this.#isKnown(engine) || await this.#isReleased(cancellation)) {
+		if (!this.#isKnown(engine) || await this.#tryCancel(cancellation)) {
 			this.#pending.delete(cancellation);
 			counters.count('cancelsConfirmed');
 			timeline.note({
@@ -80,14 +81,14 @@
 
 		clock.after(retryMs, () => {
 			if (!this.#isClosed) {
-				void this.#send(cancellation, Math.min(retryMs * 2, longestRetryMs));
+				void this.#attempt(cancellation, Math.min(retryMs * 2, maxRetryMs));
 			}
 		});
 	}
 
-	async #isReleased({address, request, attempt}: Cancellation): Promise<boolean> {
+	async #tryCancel({address, request, attempt}: Cancellation): Promise<boolean> {
 		const abort = new AbortController();
-		const timer = this.#context.clock.after(answerMs, () => {
+		const timer = this.#context.clock.after(callTimeoutMs, () => {
 			abort.abort();
 		});
 		try {
--- a/packages/host/src/core/context.ts
+++ b/packages/host/src/core/context.ts
@@ -1,6 +1,6 @@
 /**
- * What one process knows of itself, in one object that is passed down; there are no module globals.
- * Safety: the incarnation and the one reading of the wall clock are what tickets rest on.
+ * Context of one host process, passed down explicitly instead of module globals.
+ * Safety: tickets rely on the incarnation being unique, and on the wall clock being read only once to convert their expiry.
  */
 import {randomBytes} from 'node:crypto';
 import {type Clock} from '@gatehead/policy/utils/clock';
@@ -12,40 +12,39 @@
 import {type Log} from '../utils/log.js';
 import {Timeline} from '../utils/timeline.js';
 
-const nonceRange = 4096;
+const incarnationsPerMs = 4096;
 
-/** The process's settings, clocks and books. */
+/** Settings, clocks, counters and identity of a process. */
 export type Context = {
 	readonly settings: Settings;
 	readonly clock: Clock;
 	readonly random: Random;
-	/** Wall time in milliseconds, for tickets and the time line only. */
+	/** Wall-clock time in milliseconds; for tickets, the timeline and display only. */
 	readonly wall: () => number;
 	readonly log: Log;
 	readonly counters: Counters;
 	readonly hybrid: HybridClock;
 	readonly timeline: Timeline;
-	/** Turns a wall instant into the own clock's, by one reading taken at the start: a wall clock that is set back makes no lapsed ticket valid again. */
+	/** Converts a wall-clock time to `clock`'s time, by the offset read at start: setting the wall clock back makes no expired ticket valid again. */
 	readonly toOwnClock: (wallInstant: number) => number;
-	/** This incarnation: safety rests on its being unlike any other of this host. */
+	/** Host and incarnation; safety depends on the incarnation being unique for the host. */
 	readonly self: Owner;
 };
 
-/** What a process is made from. */
-export type ContextParts = Pick<Context, 'settings' | 'clock' | 'random' | 'wall' | 'log'>;
+export type ContextOptions = Pick<Context, 'settings' | 'clock' | 'random' | 'wall' | 'log'>;
 
-/** A number above those of earlier incarnations whose clock was right, and unlike the others by 12 random bits. */
+/** Creates an incarnation number: wall-clock milliseconds followed by 12 random bits, so it increases across restarts while the wall clock does. */
 export function makeIncarnation(wall: number): number {
-	return (Math.floor(wall) * nonceRange) + (randomBytes(2).readUInt16BE() % nonceRange);
+	return (Math.floor(wall) * incarnationsPerMs) + (randomBytes(2).readUInt16BE() % incarnationsPerMs);
 }
 
-/** Makes the context of a new incarnation. */
-export function makeContext(parts: ContextParts): Context {
-	const {settings, wall, clock} = parts;
+/** Creates the context of a new incarnation. */
+export function makeContext(options: ContextOptions): Context {
+	const {settings, wall, clock} = options;
 	const wallAtZero = wall() - clock.now();
 	const hybrid = new HybridClock(settings.host, wall);
 	return {
-		...parts,
+		...options,
 		hybrid,
 		toOwnClock: wallInstant => wallInstant - wallAtZero,
 		counters: new Counters(settings.metrics, {host: settings.host, hall: settings.hall}),
--- a/packages/host/src/core/engine-client.ts
+++ b/packages/host/src/core/engine-client.ts
@@ -1,7 +1,7 @@
 /**
- * Typed calls to one kind of endpoint, the model engines. Safety: what comes
- * back is checked against the schema and against request and attempt before
- * anyone sees it.
+ * HTTP client of the model engines. Safety: every response is validated
+ * against its schema before it is returned; callers compare request and
+ * attempt of stream lines.
  */
 import {type Agent, type IncomingMessage} from 'node:http';
 import {createInterface} from 'node:readline';
@@ -13,59 +13,59 @@
 import {check} from '@gatehead/schema/check';
 import {fail} from '@gatehead/schema/failure';
 import {
-	CallError, makeAgent, readText, sendCall,
+	CallError, makeKeepAliveAgent, readText, sendCall,
 } from './http-call.js';
 
-const mostAnswerBytes = 4_000_000;
-const refusedStatus = 409;
+const maxResponseLength = 4_000_000;
+const refusalStatus = 409;
 
-/** An answer, or the engine's own word that it runs and holds nothing. */
+/** A result, or the engine's refusal, by which it runs and holds nothing of the request. */
 export type Answered<Result> = {readonly kind: 'done'; readonly result: Result} | {readonly kind: 'refused'; readonly refusal: EngineRefusal};
 
-/** A decode stream's lines as they come. */
+/** Lines of a decode stream as they arrive. */
 export type Lines = AsyncIterable<StreamLine>;
 
-/** Calls to engines over kept connections. */
+/** Calls engines over keep-alive connections. A response that is not valid raises `endpointFault`; a failed call, `CallError`. */
 export class EngineClient {
-	readonly #agent: Agent = makeAgent();
+	readonly #agent: Agent = makeKeepAliveAgent();
 	#isClosed = false;
 
 	/** Builds a prompt's KV cache. */
 	async prefill(address: string, order: PrefillOrder, signal: AbortSignal): Promise<Answered<PrefillResult>> {
-		return this.#ask(address, enginePaths.prefill, order, prefillResult, signal);
+		return this.#call(address, enginePaths.prefill, order, prefillResult, signal);
 	}
 
-	/** Imports a result and opens the stream. */
+	/** Imports a prefill result and opens its token stream. */
 	async decode(address: string, order: DecodeOrder, signal: AbortSignal): Promise<Answered<Lines>> {
-		return this.#open(address, enginePaths.decode, order, signal);
+		return this.#openStream(address, enginePaths.decode, order, signal);
 	}
 
-	/** Opens the rest of a stream that the engine still holds. */
+	/** Opens the rest of a stream that the engine still holds, from token `from` on. */
 	async resume(address: string, order: ResumeOrder, signal: AbortSignal): Promise<Answered<Lines>> {
-		return this.#open(address, enginePaths.resume, order, signal);
+		return this.#openStream(address, enginePaths.resume, order, signal);
 	}
 
-	/** Releases what a request holds; the engine says whether it still holds any of it. */
+	/** Cancels a request; the result says whether the engine still holds resources of it. */
 	async cancel(address: string, order: CancelOrder, signal: AbortSignal): Promise<CancelResult> {
-		const answered = await this.#ask(address, enginePaths.cancel, order, cancelResult, signal);
+		const answered = await this.#call(address, enginePaths.cancel, order, cancelResult, signal);
 		return answered.kind === 'done' ? answered.result : {held: true};
 	}
 
-	/** Gives a fenced order. */
+	/** Sends a fenced order. */
 	async order(address: string, order: EngineOrder, signal: AbortSignal): Promise<OrderResult> {
-		const answered = await this.#ask(address, enginePaths.orders, order, orderResult, signal);
-		return answered.kind === 'done' ? answered.result : fail('endpointFault', {detail: 'the order was not understood'});
+		const answered = await this.#call(address, enginePaths.orders, order, orderResult, signal);
+		return answered.kind === 'done' ? answered.result : fail('endpointFault', {detail: 'the engine refused the order'});
 	}
 
-	/** Asks what the engine holds and how it is loaded. */
+	/** Reads what the engine holds, its load and its fence. */
 	async report(address: string, signal: AbortSignal): Promise<EngineReport> {
 		const response = await sendCall({
 			address, method: 'GET', path: enginePaths.report, signal,
 		}, this.#agent);
-		return check(engineReport, JSON.parse(await readText(response, mostAnswerBytes)), 'endpointFault');
+		return check(engineReport, JSON.parse(await readText(response, maxResponseLength)), 'endpointFault');
 	}
 
-	/** Closes kept connections; nothing is sent any more. */
+	/** Closes idle and active connections; later posts fail without being sent. */
 	close(): void {
 		this.#isClosed = true;
 		this.#agent.destroy();
@@ -73,7 +73,7 @@
 
 	async #post(address: string, path: string, order: unknown, signal: AbortSignal): Promise<IncomingMessage> {
 		if (this.#isClosed) {
-			throw new CallError(false, new Error('this process is ending'));
+			throw new CallError(false, new Error('the engine client is closed'));
 		}
 
 		return sendCall({
@@ -81,21 +81,21 @@
 		}, this.#agent);
 	}
 
-	async #ask<Schema extends z.ZodType>(address: string, path: string, order: unknown, schema: Schema, signal: AbortSignal): Promise<Answered<z.infer<Schema>>> {
+	async #call<Schema extends z.ZodType>(address: string, path: string, order: unknown, schema: Schema, signal: AbortSignal): Promise<Answered<z.infer<Schema>>> {
 		const response = await this.#post(address, path, order, signal);
-		const text = await readText(response, mostAnswerBytes);
+		const text = await readText(response, maxResponseLength);
 		return response.statusCode === 200 ? {kind: 'done', result: check(schema, JSON.parse(text), 'endpointFault')} : readRefusal(response, text);
 	}
 
-	async #open(address: string, path: string, order: unknown, signal: AbortSignal): Promise<Answered<Lines>> {
+	async #openStream(address: string, path: string, order: unknown, signal: AbortSignal): Promise<Answered<Lines>> {
 		const response = await this.#post(address, path, order, signal);
-		return response.statusCode === 200 ? {kind: 'done', result: readLines(response)} : readRefusal(response, await readText(response, mostAnswerBytes));
+		return response.statusCode === 200 ? {kind: 'done', result: readLines(response)} : readRefusal(response, await readText(response, maxResponseLength));
 	}
 }
 
 function readRefusal(response: IncomingMessage, text: string): {readonly kind: 'refused'; readonly refusal: EngineRefusal} {
-	if (response.statusCode !== refusedStatus) {
-		fail('endpointFault', {detail: `status ${response.statusCode}`});
+	if (response.statusCode !== refusalStatus) {
+		fail('endpointFault', {detail: `unexpected status ${response.statusCode}`});
 	}
 
 	return {kind: 'refused', refusal: check(engineRefusal, JSON.parse(text), 'endpointFault')};
@@ -107,6 +107,6 @@
 	}
 
 	if (!response.complete) {
-		fail('endpointFault', {detail: 'the stream was cut'});
+		fail('endpointFault', {detail: 'the connection closed before the response was complete'});
 	}
 }
--- a/packages/host/src/core/http-call.ts
+++ b/packages/host/src/core/http-call.ts
@@ -1,7 +1,7 @@
 /**
- * One HTTP call towards an endpoint, with the one fact that refusals rest
- * on: whether the order may have left. Safety: `left` is set before the
- * first byte is written, so a failure with `left` unset proves "not run".
+ * HTTP calls to endpoints, whose errors say whether the request may have been
+ * sent. Safety: an error with `left` false is thrown only before the first
+ * byte of the request is written, so it proves "not run".
  */
 import {
 	Agent, request as httpRequest, type ClientRequest, type IncomingMessage,
@@ -9,9 +9,9 @@
 import {connect, type Socket} from 'node:net';
 import {splitAddress} from '@gatehead/schema/address';
 
-const mostIdleSockets = 64;
+const maxIdleSockets = 64;
 
-/** A call's target and content. */
+/** An HTTP request to send. */
 export type Call = {
 	readonly address: string;
 	readonly method: string;
@@ -21,8 +21,9 @@
 	readonly signal?: AbortSignal;
 };
 
-/** A call that failed, and whether its order may have reached the endpoint. */
+/** Error of a call. */
 export class CallError extends Error {
+	/** Whether the request may have reached the endpoint. */
 	readonly left: boolean;
 
 	constructor(left: boolean, cause: unknown) {
@@ -31,12 +32,12 @@
 	}
 }
 
-/** Connections kept for calls that may be repeated. */
-export function makeAgent(): Agent {
-	return new Agent({keepAlive: true, maxFreeSockets: mostIdleSockets, noDelay: true});
+/** Creates a keep-alive connection pool for idempotent calls. */
+export function makeKeepAliveAgent(): Agent {
+	return new Agent({keepAlive: true, maxFreeSockets: maxIdleSockets, noDelay: true});
 }
 
-async function finish(call: ClientRequest, body: Call['body']): Promise<IncomingMessage> {
+async function sendRequest(call: ClientRequest, body: Call['body']): Promise<IncomingMessage> {
 	return new Promise((resolve, reject) => {
 		call.once('response', resolve);
 		call.once('error', error => {
@@ -46,7 +47,7 @@
 	});
 }
 
-function optionsOf({address, method, path, headers, body, signal}: Call) {
+function makeRequestOptions({address, method, path, headers, body, signal}: Call) {
 	const {ip, port} = splitAddress(address);
 	const length = body === undefined ? {} : {'content-length': String(typeof body === 'string' ? new TextEncoder().encode(body).length : body.length)};
 	return {
@@ -54,9 +55,9 @@
 	};
 }
 
-/** Sends a call that may be repeated over a kept connection. */
+/** Sends an idempotent call over a pooled connection and resolves with the response headers. */
 export async function sendCall(call: Call, agent: Agent): Promise<IncomingMessage> {
-	return finish(httpRequest({...optionsOf(call), agent}), call.body);
+	return sendRequest(httpRequest({...makeRequestOptions(call), agent}), call.body);
 }
 
 async function openSocket({address, signal}: Call): Promise<Socket> {
@@ -67,7 +68,7 @@
 		});
 		const abort = () => {
 			socket.destroy();
-			reject(new CallError(false, new Error('aborted')));
+			reject(new CallError(false, new Error('aborted while connecting')));
 		};
 
 		signal?.addEventListener('abort', abort, {once: true});
@@ -81,26 +82,26 @@
 	});
 }
 
-/** Sends a call that may not be repeated over a connection of its own: connects first, asks `mayLeave` once more, then writes. */
-export async function sendOnce(call: Call, mayLeave: () => boolean): Promise<IncomingMessage> {
+/** Sends a non-idempotent call over a new connection: connects, then writes the request only if `maySend` returns true. */
+export async function sendOnce(call: Call, maySend: () => boolean): Promise<IncomingMessage> {
 	const socket = await openSocket(call);
-	if (!mayLeave()) {
+	if (!maySend()) {
 		socket.destroy();
-		throw new CallError(false, new Error('no longer wanted'));
+		throw new CallError(false, new Error('the request was withdrawn before it was sent'));
 	}
 
-	return finish(httpRequest({...optionsOf(call), agent: false, createConnection: () => socket}), call.body);
+	return sendRequest(httpRequest({...makeRequestOptions(call), agent: false, createConnection: () => socket}), call.body);
 }
 
-/** Reads a response's whole body as text, up to `most` bytes. */
-export async function readText(response: IncomingMessage, most: number): Promise<string> {
+/** Reads a response body as text; throws `CallError` if it has more than `maxLength` UTF-16 code units. */
+export async function readText(response: IncomingMessage, maxLength: number): Promise<string> {
 	response.setEncoding('utf8');
 	let text = '';
 	for await (const chunk of response) {
 		text += String(chunk);
-		if (text.length > most) {
+		if (text.length > maxLength) {
 			response.destroy();
-			throw new CallError(true, new Error('answer over the size limit'));
+			throw new CallError(true, new Error('the response is larger than the size limit'));
 		}
 	}
 
--- a/packages/host/src/core/platform-client.ts
+++ b/packages/host/src/core/platform-client.ts
@@ -1,6 +1,6 @@
 /**
- * Reads of the platform: values, watches and the host list. Every call is counted; nothing is ever written.
- * Efficiency: what is read is a hint, but for a bundle, which its signature guards elsewhere.
+ * Read-only client of the platform: configuration values and the host list.
+ * Its results are not authoritative; bundles are verified by signature in the bundle store.
  */
 import {type Agent} from 'node:http';
 import {type z} from 'zod';
@@ -10,33 +10,33 @@
 	hostList, platformPaths, publishedValue, type HostList, type PublishedValue,
 } from '@gatehead/schema/platform-protocol';
 import {type Context} from './context.js';
-import {makeAgent, readText, sendCall} from './http-call.js';
+import {makeKeepAliveAgent, readText, sendCall} from './http-call.js';
 import {StallWatch} from './stall.js';
 
-const mostBytes = 8_000_000;
-const answerMs = 3000;
+const maxResponseLength = 8_000_000;
+const responseTimeoutMs = 3000;
 
-/** Reads the platform. */
+/** Reads the platform; a response that is not valid raises `configurationDown`. */
 export class PlatformClient {
 	readonly #context: Context;
-	readonly #agent: Agent = makeAgent();
+	readonly #agent: Agent = makeKeepAliveAgent();
 
 	constructor(context: Context) {
 		this.#context = context;
 	}
 
-	/** The value once its revision is above `after`, or as it is when `waitMs` is over. */
+	/** Long-polls a value: resolves once its revision is above `after`, or with the current value after `waitMs` milliseconds. */
 	async watch(key: string, after: number, waitMs: number, signal: AbortSignal): Promise<PublishedValue> {
 		const query = new URLSearchParams({key, after: String(after), waitMs: String(waitMs)});
-		return this.#read(this.#context.settings.platform.configuration, `${platformPaths.value}?${query.toString()}`, publishedValue, waitMs + answerMs, signal);
+		return this.#read(this.#context.settings.platform.configuration, `${platformPaths.value}?${query.toString()}`, publishedValue, waitMs + responseTimeoutMs, signal);
 	}
 
-	/** The lagging list of hosts. */
+	/** Reads the list of hosts, which may be out of date. */
 	async listHosts(signal: AbortSignal): Promise<HostList> {
-		return this.#read(this.#context.settings.platform.hosts, platformPaths.hosts, hostList, answerMs, signal);
+		return this.#read(this.#context.settings.platform.hosts, platformPaths.hosts, hostList, responseTimeoutMs, signal);
 	}
 
-	/** Closes kept connections. */
+	/** Closes all connections. */
 	close(): void {
 		this.#agent.destroy();
 	}
@@ -48,8 +48,8 @@
 			const response = await sendCall({
 				address, method: 'GET', path, signal: watch.signal,
 			}, this.#agent);
-			const text = await readText(response, mostBytes);
-			return response.statusCode === 200 ? check(schema, JSON.parse(text), 'configurationDown', true) : fail('configurationDown', {detail: `status ${response.statusCode}`});
+			const text = await readText(response, maxResponseLength);
+			return response.statusCode === 200 ? check(schema, JSON.parse(text), 'configurationDown', true) : fail('configurationDown', {detail: `unexpected status ${response.statusCode}`});
 		} finally {
 			watch.stop();
 		}
--- a/packages/host/src/core/start-check.ts
+++ b/packages/host/src/core/readiness-check.ts
@@ -1,40 +1,39 @@
 /**
- * What a process must know before it serves. Safety of "a bundle never
- * reverts": it serves only under a version that is no older than any that an
- * endpoint has obeyed, as far as endpoints can be asked.
+ * Decides whether a process may serve. Safety: bundles never revert, since a
+ * process serves only if its bundle's version is at least the highest fence
+ * that the engines it could reach have accepted.
  */
 import {type BundleStore} from './bundle-store.js';
 import {type Context} from './context.js';
 import {type EngineClient} from './engine-client.js';
 
-/** Engines asked for the highest fence that they saw. */
-const askedEngines = 8;
-const answerMs = 1500;
+const maxQueriedEngines = 8;
+const queryTimeoutMs = 1500;
 
-/** Keeps the highest fence known. */
-export class StartCheck {
+/** Queries engines for their fences and tracks the highest one. */
+export class ReadinessCheck {
 	readonly #context: Context;
 	readonly #bundles: BundleStore;
 	readonly #client: EngineClient;
 	#highestFence = 0;
-	#isDone = false;
+	#hasQueried = false;
 
 	constructor(context: Context, bundles: BundleStore, client: EngineClient) {
 		this.#context = context;
 		this.#bundles = bundles;
 		this.#client = client;
 		bundles.onAdopted(() => {
-			void this.#ask();
+			void this.#queryFences();
 		});
 	}
 
 	/** Whether this process may serve. */
 	get isReady(): boolean {
-		return this.#isDone && this.#bundles.version >= this.#highestFence;
+		return this.#hasQueried && this.#bundles.version >= this.#highestFence;
 	}
 
-	/** Notes a fence above the version in force; returns whether it is news. */
-	noteFence(fence: number): boolean {
+	/** Records a fence; returns whether it is higher than all recorded before. */
+	recordFence(fence: number): boolean {
 		if (fence <= this.#highestFence) {
 			return false;
 		}
@@ -47,24 +46,24 @@
 		return true;
 	}
 
-	async #ask(): Promise<void> {
-		if (this.#isDone) {
+	async #queryFences(): Promise<void> {
+		if (this.#hasQueried) {
 			return;
 		}
 
-		const engines = this.#bundles.inForce?.bundle.engines.slice(0, askedEngines) ?? [];
+		const engines = this.#bundles.inForce?.bundle.engines.slice(0, maxQueriedEngines) ?? [];
 		const abort = new AbortController();
-		const timer = this.#context.clock.after(answerMs, () => {
+		const timer = this.#context.clock.after(queryTimeoutMs, () => {
 			abort.abort();
 		});
-		const fences = await Promise.all(engines.map(async ({address}) => this.#askOne(address, abort.signal)));
+		const fences = await Promise.all(engines.map(async ({address}) => this.#queryFence(address, abort.signal)));
 		timer.stop();
-		this.noteFence(Math.max(0, ...fences));
-		this.#isDone = true;
+		this.recordFence(Math.max(0, ...fences));
+		this.#hasQueried = true;
 	}
 
-	/** The fence of one engine; 0 where it does not answer. */
-	async #askOne(address: string, signal: AbortSignal): Promise<number> {
+	/** Reads the fence of one engine; 0 if the engine does not respond. */
+	async #queryFence(address: string, signal: AbortSignal): Promise<number> {
 		try {
 			const {fence} = await this.#client.report(address, signal);
 			return fence;
--- a/packages/host/src/host.ts
+++ b/packages/host/src/host.ts
@@ -1,4 +1,4 @@
-/** One host process put together: its tasks, how they hear of each other, started and stopped in order. Safety rests on the tasks, not here. */
+/** Composition root of a host process: creates its components, connects them, and starts and stops them in order. */
 import {type Agent} from 'node:http';
 import {HostRings} from '@gatehead/policy/core/lookup';
 import {Ledger} from '@gatehead/policy/core/ledger';
@@ -7,16 +7,16 @@
 import {type Owner} from '@gatehead/schema/engine-protocol';
 import {fail} from '@gatehead/schema/failure';
 import {peerBatch, type MemberRecord, type PeerMessage} from '@gatehead/schema/peer-message';
-import {AdminFront} from './admin/admin-front.js';
+import {AdminServer} from './admin/admin-server.js';
 import {BundleStore} from './core/bundle-store.js';
-import {BundleWatch} from './core/bundle-watch.js';
+import {BundleWatcher} from './core/bundle-watcher.js';
 import {Canceller} from './core/canceller.js';
-import {makeContext, type Context, type ContextParts} from './core/context.js';
+import {makeContext, type Context, type ContextOptions} from './core/context.js';
 import {EngineClient} from './core/engine-client.js';
-import {makeAgent} from './core/http-call.js';
-import {stopAsPlanned} from './core/planned-stop.js';
+import {makeKeepAliveAgent} from './core/http-call.js';
+import {shutDownGracefully} from './core/graceful-shutdown.js';
 import {PlatformClient} from './core/platform-client.js';
-import {StartCheck} from './core/start-check.js';
+import {ReadinessCheck} from './core/readiness-check.js';
 import {CallerFront} from './front/caller-front.js';
 import {type FrontParts, type Job} from './front/parts.js';
 import {Keeper} from './keeper/keeper.js';
@@ -26,10 +26,10 @@
 import {PeerLinks} from './peer/peer-links.js';
 import {Roster} from './peer/roster.js';
 
-const defaultTtlMs = 20_000;
-const sweepMs = 5000;
+const defaultLookupTtlMs = 20_000;
+const ledgerSweepMs = 5000;
 
-/** Addresses at which a process listens. */
+/** Addresses on which a process listens. */
 export type BoundAddresses = {
 	readonly caller: string;
 	readonly peer: string;
@@ -43,23 +43,23 @@
 	readonly links: PeerLinks<PeerMessage>;
 	readonly membership: Membership;
 	readonly keeper: Keeper;
-	readonly #agent: Agent = makeAgent();
-	readonly #client = new EngineClient();
+	readonly #agent: Agent = makeKeepAliveAgent();
+	readonly #engineClient = new EngineClient();
 	readonly #canceller: Canceller;
-	readonly #platform: PlatformClient;
-	readonly #watch: BundleWatch;
-	readonly #spread: BundleSpread;
-	readonly #leases: LeaseClient;
-	readonly #check: StartCheck;
-	readonly #front: CallerFront;
-	readonly #admin: AdminFront;
-	readonly #parts: FrontParts;
+	readonly #platformClient: PlatformClient;
+	readonly #bundleWatcher: BundleWatcher;
+	readonly #bundleSpread: BundleSpread;
+	readonly #leaseClient: LeaseClient;
+	readonly #readiness: ReadinessCheck;
+	readonly #callerFront: CallerFront;
+	readonly #adminServer: AdminServer;
+	readonly #frontParts: FrontParts;
 	#rings: {readonly sequence: number; readonly rings: HostRings} | undefined;
 	#sweepTimer: Timer | undefined;
 	#isClosed = false;
 
-	constructor(contextParts: ContextParts) {
-		const context = makeContext(contextParts);
+	constructor(contextOptions: ContextOptions) {
+		const context = makeContext(contextOptions);
 		const send = (host: string, message: PeerMessage) => {
 			this.links.send(host, message);
 		};
@@ -68,12 +68,12 @@
 		const isLeaving = (endpoint: string) => this.membership.leavingEndpoints.has(endpoint);
 		this.context = context;
 		this.bundles = new BundleStore(context);
-		this.#platform = new PlatformClient(context);
-		this.#canceller = new Canceller(context, this.#client, engine => this.bundles.inForce?.bundle.engines.some(each => each.name === engine) ?? true);
-		this.#check = new StartCheck(context, this.bundles, this.#client);
+		this.#platformClient = new PlatformClient(context);
+		this.#canceller = new Canceller(context, this.#engineClient, engine => this.bundles.inForce?.bundle.engines.some(each => each.name === engine) ?? true);
+		this.#readiness = new ReadinessCheck(context, this.bundles, this.#engineClient);
 		this.links = new PeerLinks(context, peerBatch, {
 			onMessage: (from, message) => {
-				this.#hear(from, message);
+				this.#handleMessage(from, message);
 			},
 			onLost: (host, isRefused) => {
 				this.membership.lost(host, isRefused);
@@ -83,134 +83,135 @@
 		});
 		this.keeper = new Keeper({
 			context,
-			client: this.#client,
+			client: this.#engineClient,
 			canceller: this.#canceller,
 			bundles: this.bundles,
 			candidates,
 			send,
 			isLeaving,
 			onHigherFence: fence => {
-				this.#fetchNewer(fence);
+				this.#requestNewerBundle(fence);
 			},
 		});
 		this.membership = new Membership({
 			context,
 			voice: this.#makeVoice(send),
-			makeRoster: onRead => new Roster(context, this.#platform, onRead),
+			makeRoster: onRead => new Roster(context, this.#platformClient, onRead),
 			measureLoad: () => this.#measureLoad(),
 			onChange: () => {
-				this.#membersChanged();
+				this.#onMembersChanged();
 			},
 			onLateWake: () => {
 				this.keeper.wakeLate();
-				this.#leases.renew();
+				this.#leaseClient.renew();
 			},
 		}, makeOwnRecord(context));
-		this.#spread = new BundleSpread({
+		this.#bundleSpread = new BundleSpread({
 			context, bundles: this.bundles, send, candidates,
 		});
-		this.#watch = new BundleWatch({
-			context, bundles: this.bundles, platform: this.#platform, isWatcher: () => this.#spread.isWatcher(),
+		this.#bundleWatcher = new BundleWatcher({
+			context, bundles: this.bundles, platform: this.#platformClient, isWatcher: () => this.#bundleSpread.isWatcher(),
 		});
-		this.#leases = new LeaseClient({
+		this.#leaseClient = new LeaseClient({
 			context, links: () => this.links, cells: () => this.keeper.cells, candidates,
 		});
-		this.#parts = {
+		this.#frontParts = {
 			context,
 			bundles: this.bundles,
-			fleet: {list: () => this.membership.members.list(), rings: () => this.#findRings(), keepersOf: model => this.keeper.keepersOf(model, this.membership.members.sequence)},
+			fleet: {list: () => this.membership.members.list(), rings: () => this.#getRings(), keepersOf: model => this.keeper.keepersOf(model, this.membership.members.sequence)},
 			ledger: new Ledger<Job>(context.settings.limits.ledgerEntries),
-			isReady: () => this.#check.isReady,
-			isStopping: () => this.#front.isStopping,
+			isReady: () => this.#readiness.isReady,
+			isStopping: () => this.#callerFront.isStopping,
 			attempts: {
-				context, client: this.#client, canceller: this.#canceller, desk: this.#leases, findEngine: name => this.#bundle().engines.find(each => each.name === name),
+				context, client: this.#engineClient, canceller: this.#canceller, desk: this.#leaseClient, findEngine: name => this.#getBundle().engines.find(each => each.name === name),
 			},
 		};
-		this.#front = new CallerFront(this.#parts, {context, agent: this.#agent, takesWork: (_service, replica) => !this.#isClosed && !isLeaving(replica)});
-		this.#admin = new AdminFront({
-			context, bundles: this.bundles, membership: this.membership, keeper: this.keeper, isReady: () => this.#check.isReady, countOpen: () => this.#countOpen(), isConfigurationDown: () => this.#watch.isDown,
+		this.#callerFront = new CallerFront(this.#frontParts, {context, agent: this.#agent, takesWork: (_service, replica) => !this.#isClosed && !isLeaving(replica)});
+		this.#adminServer = new AdminServer({
+			context, bundles: this.bundles, membership: this.membership, keeper: this.keeper,
+			isReady: () => this.#readiness.isReady, countInFlight: () => this.#countInFlight(), isConfigurationUnavailable: () => this.#bundleWatcher.isUnavailable,
 		});
 		this.bundles.onAdopted(() => {
-			this.#leases.keepersChanged();
+			this.#leaseClient.keepersChanged();
 			this.membership.announceNow();
 		});
 	}
 
-	/** Whether this process knows enough to serve. */
+	/** Whether the host may serve requests; see `ReadinessCheck`. */
 	get isReady(): boolean {
-		return this.#check.isReady;
+		return this.#readiness.isReady;
 	}
 
-	/** Whether a planned stop has come so far that new requests are refused. */
+	/** Whether a graceful shutdown has reached the point where new requests are refused. */
 	get isStopping(): boolean {
-		return this.#front.isStopping;
+		return this.#callerFront.isStopping;
 	}
 
-	/** Starts all tasks; resolves once all addresses are bound. */
+	/** Starts all components; resolves once all addresses are bound. */
 	async start(): Promise<BoundAddresses> {
 		const {settings, log, timeline} = this.context;
 		const peer = await this.links.listen();
-		const caller = await this.#front.listen();
-		const admin = await this.#admin.listen();
+		const caller = await this.#callerFront.listen();
+		const admin = await this.#adminServer.listen();
 		this.membership.members.updateSelf({callerAddress: caller, peerAddress: peer, adminAddress: admin});
 		this.membership.start();
 		for (const seed of settings.seeds) {
 			this.links.greet(seed);
 		}
 
-		this.#watch.start();
-		this.#leases.start();
+		this.#bundleWatcher.start();
+		this.#leaseClient.start();
 		this.#sweepLedger();
 		log('started', {caller, peer, admin});
 		timeline.note({kind: 'started'});
 		return {caller, peer, admin};
 	}
 
-	/** Carries out a planned stop. */
+	/** Shuts down gracefully. */
 	async stop(): Promise<void> {
-		await stopAsPlanned({
+		await shutDownGracefully({
 			context: this.context,
-			lookupTtlMs: () => this.bundles.inForce?.bundle.rules.lookupTtlMs ?? defaultTtlMs,
-			leave: () => {
+			lookupTtlMs: () => this.bundles.inForce?.bundle.rules.lookupTtlMs ?? defaultLookupTtlMs,
+			announceLeaving: () => {
 				this.membership.leave();
-				this.#membersChanged();
+				this.#onMembersChanged();
 			},
-			refuseNew: () => {
-				this.#front.refuseNew();
+			refuseNewRequests: () => {
+				this.#callerFront.refuseNew();
 			},
-			countOpen: () => this.#countOpen(),
+			countInFlight: () => this.#countInFlight(),
 		});
 		this.context.log('stopped');
 		await this.close();
 	}
 
-	/** Ends at once; what is in work is cut, and nobody is told. */
+	/** Stops immediately: requests in flight are interrupted, and peers are not notified. */
 	async close(): Promise<void> {
 		this.#isClosed = true;
 		this.#sweepTimer?.stop();
 		this.links.close();
-		this.#client.close();
-		this.#watch.stop();
+		this.#engineClient.close();
+		this.#bundleWatcher.stop();
 		this.membership.stop();
-		this.#leases.stop();
+		this.#leaseClient.stop();
 		this.keeper.stop();
-		await this.#front.close();
-		await this.#admin.close();
+		await this.#callerFront.close();
+		await this.#adminServer.close();
 		this.#canceller.close();
-		this.#platform.close();
+		this.#platformClient.close();
 		this.#agent.destroy();
 		this.context.counters.close();
 	}
 
-	#bundle(): Bundle {
+	#getBundle(): Bundle {
 		return this.bundles.inForce?.bundle ?? fail('notReady');
 	}
 
-	/** Forgets now and then what has ended and lapsed. */
+	/** Periodically removes ended and expired entries from the ledger. */
 	#sweepLedger(): void {
 		const {clock} = this.context;
-		this.#parts.ledger.sweep(clock.now());
-		this.#sweepTimer = clock.after(sweepMs, () => {
+		this.#frontParts.ledger.sweep(clock.now());
+		this.#sweepTimer = clock.after(ledgerSweepMs, () => {
 			this.#sweepLedger();
 		});
 	}
@@ -236,8 +237,8 @@
 		};
 	}
 
-	/** Lays the hosts out anew only when something about them changed. */
-	#findRings(): HostRings {
+	/** Rebuilds the rings only if a member record has changed. */
+	#getRings(): HostRings {
 		const {members} = this.membership;
 		if (this.#rings?.sequence !== members.sequence) {
 			this.#rings = {sequence: members.sequence, rings: new HostRings(members.list())};
@@ -246,38 +247,38 @@
 		return this.#rings.rings;
 	}
 
-	#countOpen(): number {
-		return this.#front.open + this.#canceller.countFresh();
+	#countInFlight(): number {
+		return this.#callerFront.open + this.#canceller.countAwaited();
 	}
 
 	#measureLoad(): number {
-		return Math.min(1, this.#front.open / this.context.settings.limits.requests);
+		return Math.min(1, this.#callerFront.open / this.context.settings.limits.requests);
 	}
 
-	/** Hosts that may keep cells: those alive; where only leaving ones are left, these. */
+	/** Hosts that may keep cells: the live ones, or all reachable hosts if no live one is left. */
 	#listKeeperCandidates(): MemberRecord[] {
 		const reachable = this.membership.members.listReachable();
 		const alive = reachable.filter(({state, incarnation}) => state === 'alive' && incarnation > 0);
 		return alive.length > 0 ? alive : reachable;
 	}
 
-	#membersChanged(): void {
+	#onMembersChanged(): void {
 		this.keeper.review();
-		this.#leases.keepersChanged();
+		this.#leaseClient.keepersChanged();
 	}
 
-	/** An endpoint has obeyed a newer bundle: somebody must have it. */
-	#fetchNewer(fence: number): void {
-		if (!this.#check.noteFence(fence)) {
+	/** Asks neighbours for the bundle when an engine has accepted a fence above the highest one known. */
+	#requestNewerBundle(fence: number): void {
+		if (!this.#readiness.recordFence(fence)) {
 			return;
 		}
 
 		for (const host of this.membership.members.neighbours()) {
-			this.#spread.ask(host);
+			this.#bundleSpread.ask(host);
 		}
 	}
 
-	#hear(from: Owner, message: PeerMessage): void {
+	#handleMessage(from: Owner, message: PeerMessage): void {
 		switch (message.kind) {
 			case 'hello': {
 				this.membership.hello(message.record);
@@ -292,17 +293,17 @@
 			case 'heartbeat': {
 				this.context.hybrid.receive(message.clock);
 				this.membership.heartbeat(from, message);
-				this.#spread.heartbeat(from.host, message);
+				this.#bundleSpread.heartbeat(from.host, message);
 				return;
 			}
 
 			case 'bundleWanted': {
-				this.#spread.give(from.host, message);
+				this.#bundleSpread.give(from.host, message);
 				return;
 			}
 
 			case 'bundle': {
-				this.#spread.take(message);
+				this.#bundleSpread.take(message);
 				return;
 			}
 
@@ -310,7 +311,7 @@
 			case 'decodeGrant':
 			case 'refusal':
 			case 'notKeeper': {
-				this.#leases.hear(message);
+				this.#leaseClient.hear(message);
 				return;
 			}
 
