--- a/packages/host/src/core/attempt.ts
+++ b/packages/host/src/core/attempt.ts
@@ -9,27 +9,27 @@
 import {type PrefillResult, type StreamLine} from '@gatehead/schema/engine-protocol';
 import {Failure, fail} from '@gatehead/schema/failure';
 import {type LeaseAsk} from '@gatehead/schema/peer-message';
-import {type Answer} from './answer.js';
+import {type TokenStream} from './token-stream.js';
 import {type Canceller} from './canceller.js';
 import {type Context} from './context.js';
-import {type EngineClient, type Lines} from './engine-client.js';
-import {type LeaseDesk} from './lease-desk.js';
-import {StallWatch} from './stall.js';
-import {type Run, type Work} from './work.js';
+import {type EngineClient, type DecodeStream} from './engine-client.js';
+import {type LeaseProvider} from './lease-provider.js';
+import {StallTimer} from './stall-timer.js';
+import {type ExecutionState, type ModelRequest} from './model-request.js';
 
 const maxResumes = 2;
 
-export type AttemptParts = {
+export type AttemptOptions = {
 	readonly context: Context;
 	readonly client: EngineClient;
 	readonly canceller: Canceller;
-	readonly desk: LeaseDesk;
+	readonly leases: LeaseProvider;
 	/** Finds an engine in the bundle in force. */
 	readonly findEngine: (name: string) => Engine | undefined;
 };
 
 /** Outcome of an attempt; after `failed`, another attempt may follow. */
-export type AttemptOutcome = 'whole' | 'failed';
+export type AttemptOutcome = 'complete' | 'failed';
 
 /** Prefill result and the engine that holds it. */
 type PrefilledResult = {
@@ -40,10 +40,10 @@
 };
 
 export class Attempt {
-	readonly #parts: AttemptParts;
-	readonly #request: Work;
-	readonly #state: Run;
-	readonly #answer: Answer;
+	readonly #options: AttemptOptions;
+	readonly #request: ModelRequest;
+	readonly #state: ExecutionState;
+	readonly #stream: TokenStream;
 	readonly #signal: AbortSignal;
 	readonly #number: number;
 	/** Tokens of earlier attempts, which this attempt continues. */
@@ -52,14 +52,14 @@
 	readonly #holders = new Map<string, Engine>();
 	#hasLease = false;
 
-	constructor(parts: AttemptParts, request: Work, state: Run, answer: Answer, signal: AbortSignal) {
-		this.#parts = parts;
+	constructor(options: AttemptOptions, request: ModelRequest, state: ExecutionState, stream: TokenStream, signal: AbortSignal) {
+		this.#options = options;
 		this.#request = request;
 		this.#state = state;
-		this.#answer = answer;
+		this.#stream = stream;
 		this.#signal = signal;
 		this.#number = state.attempts;
-		this.#previousTokens = [...answer.tokens];
+		this.#previousTokens = [...stream.tokens];
 	}
 
 	/** Executes the attempt. Throws the failure of the lease provider if it refuses a lease. */
@@ -67,7 +67,7 @@
 		try {
 			const prefilled = await this.#prefill();
 			const isComplete = prefilled !== undefined && await this.#decode(prefilled);
-			return isComplete ? 'whole' : 'failed';
+			return isComplete ? 'complete' : 'failed';
 		} finally {
 			this.#releaseResources();
 		}
@@ -77,19 +77,19 @@
 		return {request: this.#request.id, attempt: this.#number};
 	}
 
-	#recordEvent(kind: Parameters<Context['timeline']['note']>[0]['kind'], endpoint?: string, detail?: string): void {
-		this.#parts.context.timeline.note({
+	#recordEvent(kind: Parameters<Context['timeline']['record']>[0]['kind'], endpoint?: string, detail?: string): void {
+		this.#options.context.timeline.record({
 			kind, request: this.#request.id, attempt: this.#number, caller: this.#request.caller.name, endpoint, detail,
 		});
 	}
 
-	#startStallTimer(): StallWatch {
-		const {clock, settings} = this.#parts.context;
-		return new StallWatch(clock, settings.timing.endpointStallMs, this.#signal);
+	#startStallTimer(): StallTimer {
+		const {clock, settings} = this.#options.context;
+		return new StallTimer(clock, settings.timing.endpointStallMs, this.#signal);
 	}
 
 	#getEngine(name: string): Engine {
-		return this.#parts.findEngine(name) ?? fail('endpointFault', {detail: `${name} is not in the bundle in force`});
+		return this.#options.findEngine(name) ?? fail('endpointFault', {detail: `${name} is not in the bundle in force`});
 	}
 
 	#makeLeaseRequest(): LeaseAsk {
@@ -104,7 +104,7 @@
 			promptTokens: promptTokens + previousTokens,
 			maxTokens: maxTokens - previousTokens,
 			blocks: [...blocks],
-			slackMs: arrivedAt + target.ttftMs - this.#parts.context.clock.now(),
+			slackMs: arrivedAt + target.ttftMs - this.#options.context.clock.now(),
 			accepted: this.#number > 1,
 		};
 	}
@@ -112,18 +112,18 @@
 	#makeEngineRequest() {
 		const {id, model, adapter, caller, prompt} = this.#request;
 		return {
-			request: id, attempt: this.#number, owner: this.#parts.context.self, model: model.name, adapter, priority: caller.priority, prompt, given: [...this.#previousTokens],
+			request: id, attempt: this.#number, owner: this.#options.context.self, model: model.name, adapter, priority: caller.priority, prompt, given: [...this.#previousTokens],
 		};
 	}
 
 	async #prefill(): Promise<PrefilledResult | undefined> {
-		const {desk, client, context: {clock, counters}} = this.#parts;
+		const {leases, client, context: {clock, counters}} = this.#options;
 		this.#recordEvent('asked');
-		const engine = this.#getEngine(await desk.askPrefill(this.#request.model.name, this.#makeLeaseRequest(), this.#signal));
+		const engine = this.#getEngine(await leases.acquirePrefill(this.#request.model.name, this.#makeLeaseRequest(), this.#signal));
 		this.#hasLease = true;
 		this.#recordEvent('prefillGranted', engine.name);
 		counters.count('prefillStarted');
-		this.#state.hasLeft = true;
+		this.#state.mayHaveBeenSent = true;
 		this.#holders.set(engine.name, engine);
 		const timer = this.#startStallTimer();
 		try {
@@ -156,16 +156,16 @@
 
 			const outcome = await this.#startDecode(prefilled, engine);
 			if (outcome !== 'retry') {
-				return outcome === 'whole';
+				return outcome === 'complete';
 			}
 		}
 	}
 
 	async #acquireDecodeSlot({result, expiresAt}: PrefilledResult): Promise<Engine | undefined> {
-		const {desk, context: {clock}} = this.#parts;
-		const timer = new StallWatch(clock, expiresAt - clock.now(), this.#signal);
+		const {leases, context: {clock}} = this.#options;
+		const timer = new StallTimer(clock, expiresAt - clock.now(), this.#signal);
 		try {
-			const name = await desk.askDecode(this.#lease, result.cachedTokens, expiresAt - clock.now(), timer.signal);
+			const name = await leases.acquireDecode(this.#lease, result.cachedTokens, expiresAt - clock.now(), timer.signal);
 			this.#recordEvent('decodeGranted', name);
 			return this.#getEngine(name);
 		} catch (error) {
@@ -179,11 +179,11 @@
 		}
 	}
 
-	async #startDecode({engine: source, result}: PrefilledResult, engine: Engine): Promise<'whole' | 'retry' | 'failed'> {
+	async #startDecode({engine: source, result}: PrefilledResult, engine: Engine): Promise<'complete' | 'retry' | 'failed'> {
 		const timer = this.#startStallTimer();
 		this.#holders.set(engine.name, engine);
 		try {
-			const answered = await this.#parts.client.decode(engine.address, {
+			const answered = await this.#options.client.decode(engine.address, {
 				...this.#makeEngineRequest(), source: {address: source.address, handle: result.handle}, maxTokens: this.#request.maxTokens,
 			}, timer.signal);
 			if (answered.kind === 'refused') {
@@ -198,8 +198,8 @@
 			}
 
 			this.#holders.delete(source.name);
-			this.#parts.context.counters.count('prefillUsed');
-			return await this.#readWithResume(answered.result, engine, timer) ? 'whole' : 'failed';
+			this.#options.context.counters.count('prefillUsed');
+			return await this.#readWithResume(answered.result, engine, timer) ? 'complete' : 'failed';
 		} catch (error) {
 			this.#reportFailure(engine, String(error), true);
 			return this.#signal.aborted ? 'failed' : 'retry';
@@ -209,8 +209,8 @@
 	}
 
 	/** Reads a stream to its end, and resumes an interrupted one at the same engine up to `maxResumes` times. */
-	async #readWithResume(lines: Lines, engine: Engine, timer: StallWatch): Promise<boolean> {
-		let current: Lines | undefined = lines;
+	async #readWithResume(lines: DecodeStream, engine: Engine, timer: StallTimer): Promise<boolean> {
+		let current: DecodeStream | undefined = lines;
 		for (let resumes = 0; current !== undefined; resumes += 1) {
 			if (await this.#readLines(current, engine, timer)) {
 				return true;
@@ -227,10 +227,10 @@
 		return false;
 	}
 
-	async #readLines(lines: Lines, engine: Engine, timer: StallWatch): Promise<boolean> {
+	async #readLines(lines: DecodeStream, engine: Engine, timer: StallTimer): Promise<boolean> {
 		try {
 			for await (const line of lines) {
-				timer.touch();
+				timer.reset();
 				if (this.#handleLine(line, engine)) {
 					return true;
 				}
@@ -242,12 +242,12 @@
 		return false;
 	}
 
-	async #resume(engine: Engine): Promise<Lines | undefined> {
-		const {client, context: {self, counters}} = this.#parts;
+	async #resume(engine: Engine): Promise<DecodeStream | undefined> {
+		const {client, context: {self, counters}} = this.#options;
 		const timer = this.#startStallTimer();
 		try {
 			const answered = await client.resume(engine.address, {
-				request: this.#request.id, attempt: this.#number, owner: self, from: this.#answer.tokens.length,
+				request: this.#request.id, attempt: this.#number, owner: self, from: this.#stream.tokens.length,
 			}, timer.signal);
 			if (answered.kind === 'refused') {
 				return undefined;
@@ -266,12 +266,12 @@
 	/** Handles one line; returns true once the stream is complete. Lines of another request or attempt are ignored. */
 	#handleLine(line: StreamLine, engine: Engine): boolean {
 		if (line.request !== this.#request.id || line.attempt !== this.#number) {
-			this.#parts.context.log('endpointFault', {endpoint: engine.name, detail: 'received a stream line of another request or attempt'});
+			this.#options.context.log('endpointFault', {endpoint: engine.name, detail: 'received a stream line of another request or attempt'});
 			return false;
 		}
 
 		if (line.kind === 'imported') {
-			this.#parts.desk.started(this.#lease);
+			this.#options.leases.reportStarted(this.#lease);
 			this.#recordEvent('decodeStarted', engine.name);
 			return false;
 		}
@@ -281,20 +281,20 @@
 			return false;
 		}
 
-		if (line.tokens !== this.#answer.tokens.length) {
+		if (line.tokens !== this.#stream.tokens.length) {
 			return false;
 		}
 
 		this.#holders.delete(engine.name);
 		this.#recordEvent('decodeEnded', engine.name);
-		this.#answer.finish({kind: 'whole', reason: line.reason});
+		this.#stream.finish({kind: 'complete', reason: line.reason});
 		return true;
 	}
 
 	#appendToken(n: number, text: string, engine: Engine): void {
-		const now = this.#parts.context.clock.now();
-		this.#answer.position = `${engine.name}/${this.#number}`;
-		if (!this.#answer.take(n, text)) {
+		const now = this.#options.context.clock.now();
+		this.#stream.position = `${engine.name}/${this.#number}`;
+		if (!this.#stream.append(n, text)) {
 			return;
 		}
 
@@ -309,25 +309,25 @@
 	#reportFailure(engine: Engine, detail: string, isLost: boolean): void {
 		this.#recordEvent('attemptFailed', engine.name, detail);
 		if (!this.#signal.aborted) {
-			this.#parts.desk.bounced(this.#lease, engine.name, isLost);
+			this.#options.leases.reportFailure(this.#lease, engine.name, isLost);
 		}
 	}
 
 	#recordWastedPrefill(cause: string): void {
-		this.#parts.context.counters.count('prefillWasted', cause);
+		this.#options.context.counters.count('prefillWasted', cause);
 		this.#recordEvent('prefillWasted', undefined, cause);
 	}
 
 	/** Sends cancels to engines that may hold resources, and releases the lease once all have confirmed. */
 	#releaseResources(): void {
-		const {desk, canceller} = this.#parts;
+		const {leases, canceller} = this.#options;
 		const lease = this.#lease;
-		const outcome = {tokens: this.#answer.tokens.length - this.#previousTokens.length, goodput: this.#answer.end?.kind === 'whole'};
+		const outcome = {tokens: this.#stream.tokens.length - this.#previousTokens.length, goodput: this.#stream.end?.kind === 'complete'};
 		const holders = [...this.#holders.values()];
 		const release = () => {
 			holders.pop();
 			if (this.#hasLease && holders.length === 0) {
-				desk.release(lease, outcome);
+				leases.release(lease, outcome);
 			}
 		};
 
@@ -337,13 +337,13 @@
 
 		for (const {name, address} of this.#holders.values()) {
 			canceller.cancel({
-				engine: name, address, ...lease, confirmed: release,
+				engine: name, address, ...lease, onConfirmed: release,
 			});
 		}
 	}
 }
 
 /** Creates the failure of a request that has no attempts left. */
-export function makeAttemptsSpentFailure(state: Run): Failure {
-	return new Failure('attemptsSpent', {ran: state.hasLeft ? 'unknown' : 'no'});
+export function makeAttemptsSpentFailure(state: ExecutionState): Failure {
+	return new Failure('attemptsSpent', {ran: state.mayHaveBeenSent ? 'unknown' : 'no'});
 }
--- a/packages/host/src/core/bundle-store.ts
+++ b/packages/host/src/core/bundle-store.ts
@@ -13,7 +13,7 @@
 import {type Context} from './context.js';
 
 /** An adopted bundle. */
-export type InForce = {
+export type AdoptedBundle = {
 	readonly bundle: Bundle;
 	readonly signed: SignedBundle;
 	readonly manifestDigest: string;
@@ -30,15 +30,15 @@
 export class BundleStore {
 	readonly #context: Context;
 	readonly #keys: readonly OperatorKey[];
-	readonly #listeners: Array<(inForce: InForce) => void> = [];
-	#inForce: InForce | undefined;
+	readonly #listeners: Array<(inForce: AdoptedBundle) => void> = [];
+	#inForce: AdoptedBundle | undefined;
 
 	constructor(context: Context) {
 		this.#context = context;
 		this.#keys = context.settings.keys.operators.map(({name, publicKey}) => readOperatorKey(name, publicKey));
 	}
 
-	get inForce(): InForce | undefined {
+	get inForce(): AdoptedBundle | undefined {
 		return this.#inForce;
 	}
 
@@ -48,12 +48,12 @@
 	}
 
 	/** Adds a listener that is called after each adoption. */
-	onAdopted(listener: (inForce: InForce) => void): void {
+	onAdopted(listener: (inForce: AdoptedBundle) => void): void {
 		this.#listeners.push(listener);
 	}
 
 	/** Whether a manifest would supersede the bundle in force, so that its sections are worth fetching. Throws if its signature is not valid. */
-	isWanted(signed: Pick<SignedBundle, 'manifest' | 'key' | 'signature'>): boolean {
+	wouldAdopt(signed: Pick<SignedBundle, 'manifest' | 'key' | 'signature'>): boolean {
 		const opened = openManifest(signed, this.#keys);
 		return opened.version > this.version || (opened.version === this.version && digestOf(signed.manifest) > (this.#inForce?.manifestDigest ?? ''));
 	}
@@ -65,7 +65,7 @@
 		} catch (error) {
 			const {code, detail} = toFailure(error, 'bundleInvalid');
 			this.#context.log(code, {detail});
-			this.#context.timeline.note({kind: 'bundleRefused', detail: code});
+			this.#context.timeline.record({kind: 'bundleRefused', detail: code});
 			return 'refused';
 		}
 	}
@@ -100,12 +100,12 @@
 		return 'adopted';
 	}
 
-	#adopt(inForce: InForce): void {
+	#adopt(inForce: AdoptedBundle): void {
 		this.#inForce = inForce;
 		const {bundle: {version}} = inForce;
 		this.#context.log('bundleAdopted', {version});
 		this.#context.counters.count('bundles');
-		this.#context.timeline.note({kind: 'bundleAdopted', bundleVersion: version});
+		this.#context.timeline.record({kind: 'bundleAdopted', bundleVersion: version});
 		for (const listener of this.#listeners) {
 			listener(inForce);
 		}
--- a/packages/host/src/core/canceller.ts
+++ b/packages/host/src/core/canceller.ts
@@ -21,7 +21,7 @@
 	/** Last attempt to cancel; earlier ones are cancelled as well. */
 	readonly attempt: number;
 	/** Called once the engine has confirmed, or is no longer in the bundle. */
-	readonly confirmed?: () => void;
+	readonly onConfirmed?: () => void;
 };
 
 export class Canceller {
@@ -66,16 +66,16 @@
 	async #attempt(cancellation: Cancellation, retryMs: number): Promise<void> {
 		const {timeline, counters, clock} = this.#context;
 		const {request, attempt, engine} = cancellation;
-		timeline.note({
+		timeline.record({
 			kind: 'cancelSent', request, attempt, endpoint: engine,
 		});
 		if (!this.#isKnown(engine) || await this.#tryCancel(cancellation)) {
 			this.#pending.delete(cancellation);
 			counters.count('cancelsConfirmed');
-			timeline.note({
+			timeline.record({
 				kind: 'cancelConfirmed', request, attempt, endpoint: engine,
 			});
-			cancellation.confirmed?.();
+			cancellation.onConfirmed?.();
 			return;
 		}
 
--- a/packages/host/src/core/context.ts
+++ b/packages/host/src/core/context.ts
@@ -26,7 +26,7 @@
 	readonly hybrid: HybridClock;
 	readonly timeline: Timeline;
 	/** Converts a wall-clock time to `clock`'s time, by the offset read at start: setting the wall clock back makes no expired ticket valid again. */
-	readonly toOwnClock: (wallInstant: number) => number;
+	readonly toMonotonicTime: (wallTime: number) => number;
 	/** Host and incarnation; safety depends on the incarnation being unique for the host. */
 	readonly self: Owner;
 };
@@ -41,12 +41,12 @@
 /** Creates the context of a new incarnation. */
 export function makeContext(options: ContextOptions): Context {
 	const {settings, wall, clock} = options;
-	const wallAtZero = wall() - clock.now();
+	const wallOffset = wall() - clock.now();
 	const hybrid = new HybridClock(settings.host, wall);
 	return {
 		...options,
 		hybrid,
-		toOwnClock: wallInstant => wallInstant - wallAtZero,
+		toMonotonicTime: wallTime => wallTime - wallOffset,
 		counters: new Counters(settings.metrics, {host: settings.host, hall: settings.hall}),
 		timeline: new Timeline(settings.host, hybrid, settings.limits.timelineEvents),
 		self: {host: settings.host, incarnation: makeIncarnation(wall())},
--- a/packages/host/src/core/dispatch.ts
+++ b/packages/host/src/core/dispatch.ts
@@ -4,30 +4,30 @@
  * only if no part of the request was written to a socket.
  */
 import {Failure, toFailure} from '@gatehead/schema/failure';
-import {type Answer} from './answer.js';
-import {Attempt, makeAttemptsSpentFailure, type AttemptParts} from './attempt.js';
-import {isGoodput, type Run, type Work} from './work.js';
+import {type TokenStream} from './token-stream.js';
+import {Attempt, makeAttemptsSpentFailure, type AttemptOptions} from './attempt.js';
+import {isGoodput, type ExecutionState, type ModelRequest} from './model-request.js';
 
-/** Executes one request and writes its tokens to `answer`; `signal` aborts when the caller disconnects. */
-export async function dispatch(parts: AttemptParts, modelRequest: Work, answer: Answer, signal: AbortSignal, maxAttempts: number): Promise<void> {
-	const state: Run = {
-		attempts: 0, hasLeft: false, firstTokenAt: undefined, lastTokenAt: undefined,
+/** Executes one request and writes its tokens to `stream`; `signal` aborts when the caller disconnects. */
+export async function dispatch(options: AttemptOptions, modelRequest: ModelRequest, stream: TokenStream, signal: AbortSignal, maxAttempts: number): Promise<void> {
+	const state: ExecutionState = {
+		attempts: 0, mayHaveBeenSent: false, firstTokenAt: undefined, lastTokenAt: undefined,
 	};
 	try {
-		await tryAttempts(parts, modelRequest, state, answer, signal, maxAttempts);
+		await tryAttempts(options, modelRequest, state, stream, signal, maxAttempts);
 	} catch (error) {
-		answer.finish({kind: 'failed', failure: toRequestFailure(error, state, signal)});
+		stream.finish({kind: 'failed', failure: toRequestFailure(error, state, signal)});
 	}
 
-	recordOutcome(parts, modelRequest, state, answer);
+	recordOutcome(options, modelRequest, state, stream);
 }
 
-async function tryAttempts(parts: AttemptParts, modelRequest: Work, state: Run, answer: Answer, signal: AbortSignal, maxAttempts: number): Promise<void> {
+async function tryAttempts(options: AttemptOptions, modelRequest: ModelRequest, state: ExecutionState, stream: TokenStream, signal: AbortSignal, maxAttempts: number): Promise<void> {
 	while (state.attempts < maxAttempts) {
 		state.attempts += 1;
-		parts.context.counters.count('attempts');
-		const end = await new Attempt(parts, modelRequest, state, answer, signal).execute();
-		if (end === 'whole') {
+		options.context.counters.count('attempts');
+		const outcome = await new Attempt(options, modelRequest, state, stream, signal).execute();
+		if (outcome === 'complete') {
 			return;
 		}
 
@@ -40,13 +40,13 @@
 }
 
 /** Converts an error to the request's failure: once the request may have been sent, "not run" becomes "unknown". */
-function toRequestFailure(error: unknown, state: Run, signal: AbortSignal): Failure {
+function toRequestFailure(error: unknown, state: ExecutionState, signal: AbortSignal): Failure {
 	if (signal.aborted) {
-		return new Failure('callerGone', {ran: state.hasLeft ? 'unknown' : 'no'});
+		return new Failure('callerGone', {ran: state.mayHaveBeenSent ? 'unknown' : 'no'});
 	}
 
 	const failure = toFailure(error);
-	if (failure.ran !== 'no' || !state.hasLeft) {
+	if (failure.ran !== 'no' || !state.mayHaveBeenSent) {
 		return failure;
 	}
 
@@ -55,8 +55,8 @@
 	});
 }
 
-function recordOutcome({context: {counters, timeline}}: AttemptParts, modelRequest: Work, state: Run, answer: Answer): void {
-	const {end} = answer;
+function recordOutcome({context: {counters, timeline}}: AttemptOptions, modelRequest: ModelRequest, state: ExecutionState, stream: TokenStream): void {
+	const {end} = stream;
 	const {caller: {name: caller}, id: request} = modelRequest;
 	if (end?.kind === 'failed') {
 		const {code, ran} = end.failure;
@@ -65,18 +65,18 @@
 			counters.count('unknown', caller);
 		}
 
-		timeline.note({
+		timeline.record({
 			kind: 'requestRefused', request, caller, detail: code,
 		});
 		return;
 	}
 
-	const tokens = answer.tokens.length;
+	const tokens = stream.tokens.length;
 	counters.count(isGoodput(modelRequest, state, tokens) ? 'goodputMet' : 'goodputMissed', caller);
 	counters.time('ttft', (state.firstTokenAt ?? 0) - modelRequest.arrivedAt);
 	if (tokens > 1) {
 		counters.time('token', ((state.lastTokenAt ?? 0) - (state.firstTokenAt ?? 0)) / (tokens - 1));
 	}
 
-	timeline.note({kind: 'requestEnded', request, caller});
+	timeline.record({kind: 'requestEnded', request, caller});
 }
--- a/packages/host/src/core/engine-client.ts
+++ b/packages/host/src/core/engine-client.ts
@@ -20,10 +20,10 @@
 const refusalStatus = 409;
 
 /** A result, or the engine's refusal, by which it runs and holds nothing of the request. */
-export type Answered<Result> = {readonly kind: 'done'; readonly result: Result} | {readonly kind: 'refused'; readonly refusal: EngineRefusal};
+export type EngineReply<Result> = {readonly kind: 'done'; readonly result: Result} | {readonly kind: 'refused'; readonly refusal: EngineRefusal};
 
 /** Lines of a decode stream as they arrive. */
-export type Lines = AsyncIterable<StreamLine>;
+export type DecodeStream = AsyncIterable<StreamLine>;
 
 /** Calls engines over keep-alive connections. A response that is not valid raises `endpointFault`; a failed call, `CallError`. */
 export class EngineClient {
@@ -31,17 +31,17 @@
 	#isClosed = false;
 
 	/** Builds a prompt's KV cache. */
-	async prefill(address: string, order: PrefillOrder, signal: AbortSignal): Promise<Answered<PrefillResult>> {
+	async prefill(address: string, order: PrefillOrder, signal: AbortSignal): Promise<EngineReply<PrefillResult>> {
 		return this.#call(address, enginePaths.prefill, order, prefillResult, signal);
 	}
 
 	/** Imports a prefill result and opens its token stream. */
-	async decode(address: string, order: DecodeOrder, signal: AbortSignal): Promise<Answered<Lines>> {
+	async decode(address: string, order: DecodeOrder, signal: AbortSignal): Promise<EngineReply<DecodeStream>> {
 		return this.#openStream(address, enginePaths.decode, order, signal);
 	}
 
 	/** Opens the rest of a stream that the engine still holds, from token `from` on. */
-	async resume(address: string, order: ResumeOrder, signal: AbortSignal): Promise<Answered<Lines>> {
+	async resume(address: string, order: ResumeOrder, signal: AbortSignal): Promise<EngineReply<DecodeStream>> {
 		return this.#openStream(address, enginePaths.resume, order, signal);
 	}
 
@@ -81,13 +81,13 @@
 		}, this.#agent);
 	}
 
-	async #call<Schema extends z.ZodType>(address: string, path: string, order: unknown, schema: Schema, signal: AbortSignal): Promise<Answered<z.infer<Schema>>> {
+	async #call<Schema extends z.ZodType>(address: string, path: string, order: unknown, schema: Schema, signal: AbortSignal): Promise<EngineReply<z.infer<Schema>>> {
 		const response = await this.#post(address, path, order, signal);
 		const text = await readText(response, maxResponseLength);
 		return response.statusCode === 200 ? {kind: 'done', result: check(schema, JSON.parse(text), 'endpointFault')} : readRefusal(response, text);
 	}
 
-	async #openStream(address: string, path: string, order: unknown, signal: AbortSignal): Promise<Answered<Lines>> {
+	async #openStream(address: string, path: string, order: unknown, signal: AbortSignal): Promise<EngineReply<DecodeStream>> {
 		const response = await this.#post(address, path, order, signal);
 		return response.statusCode === 200 ? {kind: 'done', result: readLines(response)} : readRefusal(response, await readText(response, maxResponseLength));
 	}
--- a/packages/host/src/core/graceful-shutdown.ts
+++ b/packages/host/src/core/graceful-shutdown.ts
@@ -29,7 +29,7 @@
 /** Shuts down gracefully; resolves once nothing is in flight. */
 export async function shutDownGracefully({context, lookupTtlMs, announceLeaving, refuseNewRequests, countInFlight}: ShutdownOptions): Promise<void> {
 	context.log('stopping');
-	context.timeline.note({kind: 'stopping'});
+	context.timeline.record({kind: 'stopping'});
 	announceLeaving();
 	await pause(context, maxTimeToLive(lookupTtlMs()) + (propagationTicks * context.settings.timing.tickMs));
 	refuseNewRequests();
--- a/packages/host/src/core/http-call.ts
+++ b/packages/host/src/core/http-call.ts
@@ -1,6 +1,6 @@
 /**
  * HTTP calls to endpoints, whose errors say whether the request may have been
- * sent. Safety: an error with `left` false is thrown only before the first
+ * sent. Safety: an error with `mayHaveBeenSent` false is thrown only before the first
  * byte of the request is written, so it proves "not run".
  */
 import {
@@ -24,11 +24,11 @@
 /** Error of a call. */
 export class CallError extends Error {
 	/** Whether the request may have reached the endpoint. */
-	readonly left: boolean;
+	readonly mayHaveBeenSent: boolean;
 
-	constructor(left: boolean, cause: unknown) {
+	constructor(mayHaveBeenSent: boolean, cause: unknown) {
 		super(cause instanceof Error ? cause.message : String(cause), {cause});
-		this.left = left;
+		this.mayHaveBeenSent = mayHaveBeenSent;
 	}
 }
 
--- a/packages/host/src/core/lease-desk.ts
+++ b/packages/host/src/core/lease-provider.ts
@@ -3,16 +3,16 @@
  * Leases are advisory: one that is lost or granted twice costs goodput only, as engines refuse work that does not fit.
  */
 import {type LeaseAsk} from '@gatehead/schema/peer-message';
-import {type Work} from './work.js';
+import {type ModelRequest} from './model-request.js';
 
 /** Identity of a lease: one per attempt of a request. */
-export type LeaseName = {
+export type LeaseId = {
 	readonly request: string;
 	readonly attempt: number;
 };
 
 /** How an attempt ended, for the scheduler's accounting. */
-export type LeaseEnd = {
+export type LeaseOutcome = {
 	/** Tokens generated in this attempt. */
 	readonly tokens: number;
 	/** Whether the response is complete. */
@@ -20,17 +20,17 @@
 };
 
 /** Grants leases on prefill and decode slots. */
-export type LeaseDesk = {
+export type LeaseProvider = {
 	/** Waits for a prefill slot and resolves with the engine's name; throws `Failure` if the lease is refused. */
-	askPrefill(model: string, ask: LeaseAsk, signal: AbortSignal): Promise<string>;
+	acquirePrefill(model: string, request: LeaseAsk, signal: AbortSignal): Promise<string>;
 	/** Reports that the prefill has ended, waits for a decode slot and resolves with the engine's name. The prefill result is held for `holdMs` milliseconds. */
-	askDecode(lease: LeaseName, cachedTokens: number, holdMs: number, signal: AbortSignal): Promise<string>;
+	acquireDecode(lease: LeaseId, cachedTokens: number, holdMs: number, signal: AbortSignal): Promise<string>;
 	/** Claims the decode slot of a stream whose owner has failed. */
-	takeOver(work: Work, lease: LeaseName, engine: string): void;
+	takeOver(modelRequest: ModelRequest, lease: LeaseId, engine: string): void;
 	/** Reports that the KV cache is imported and decoding has started. */
-	started(lease: LeaseName): void;
+	reportStarted(lease: LeaseId): void;
 	/** Reports that an engine refused the work or failed; `lost` if the engine seems unreachable. */
-	bounced(lease: LeaseName, engine: string, lost: boolean): void;
+	reportFailure(lease: LeaseId, engine: string, lost: boolean): void;
 	/** Releases the lease's slots. */
-	release(lease: LeaseName, end: LeaseEnd): void;
+	release(lease: LeaseId, outcome: LeaseOutcome): void;
 };
--- a/packages/host/src/core/work.ts
+++ b/packages/host/src/core/model-request.ts
@@ -1,11 +1,11 @@
 /**
  * A model request and the state of its execution.
- * Safety: `hasLeft` decides whether a failure may report "not run".
+ * Safety: `mayHaveBeenSent` decides whether a failure may report "not run".
  */
 import {type Caller, type Model, type Target} from '@gatehead/schema/bundle';
 
 /** A validated model request. */
-export type Work = {
+export type ModelRequest = {
 	readonly id: string;
 	readonly caller: Caller;
 	readonly model: Model;
@@ -20,16 +20,16 @@
 };
 
 /** State of an execution; times are on the context's clock, in milliseconds. */
-export type Run = {
+export type ExecutionState = {
 	attempts: number;
 	/** True from just before the first call to an engine for this request. */
-	hasLeft: boolean;
+	mayHaveBeenSent: boolean;
 	firstTokenAt: number | undefined;
 	lastTokenAt: number | undefined;
 };
 
 /** Whether a complete response met the targets for time to first token and time per output token. */
-export function isGoodput({target, arrivedAt}: Work, {firstTokenAt, lastTokenAt}: Run, tokens: number): boolean {
+export function isGoodput({target, arrivedAt}: ModelRequest, {firstTokenAt, lastTokenAt}: ExecutionState, tokens: number): boolean {
 	if (firstTokenAt === undefined || lastTokenAt === undefined || firstTokenAt - arrivedAt > target.ttftMs) {
 		return false;
 	}
--- a/packages/host/src/core/platform-client.ts
+++ b/packages/host/src/core/platform-client.ts
@@ -11,7 +11,7 @@
 } from '@gatehead/schema/platform-protocol';
 import {type Context} from './context.js';
 import {makeKeepAliveAgent, readText, sendCall} from './http-call.js';
-import {StallWatch} from './stall.js';
+import {StallTimer} from './stall-timer.js';
 
 const maxResponseLength = 8_000_000;
 const responseTimeoutMs = 3000;
@@ -43,15 +43,15 @@
 
 	async #read<Schema extends z.ZodType>(address: string, path: string, schema: Schema, stallMs: number, signal: AbortSignal): Promise<z.infer<Schema>> {
 		this.#context.counters.count('platformReads');
-		const watch = new StallWatch(this.#context.clock, stallMs, signal);
+		const timer = new StallTimer(this.#context.clock, stallMs, signal);
 		try {
 			const response = await sendCall({
-				address, method: 'GET', path, signal: watch.signal,
+				address, method: 'GET', path, signal: timer.signal,
 			}, this.#agent);
 			const text = await readText(response, maxResponseLength);
 			return response.statusCode === 200 ? check(schema, JSON.parse(text), 'configurationDown', true) : fail('configurationDown', {detail: `unexpected status ${response.statusCode}`});
 		} finally {
-			watch.stop();
+			timer.stop();
 		}
 	}
 }
--- a/packages/host/src/core/stall.ts
+++ b/packages/host/src/core/stall-timer.ts
@@ -2,7 +2,7 @@
 import {type Clock, type Timer} from '@gatehead/policy/utils/clock';
 
 /** Aborts its signal after a time without progress. */
-export class StallWatch {
+export class StallTimer {
 	readonly #clock: Clock;
 	readonly #stallMs: number;
 	readonly #abort = new AbortController();
@@ -32,7 +32,7 @@
 	}
 
 	/** Restarts the timeout after progress. */
-	touch(): void {
+	reset(): void {
 		this.#timer.stop();
 		this.#timer = this.#startTimer();
 	}
--- a/packages/host/src/core/ticket.ts
+++ b/packages/host/src/core/ticket.ts
@@ -21,7 +21,7 @@
 export type Ticket = z.infer<typeof ticketPayload>;
 
 /** Parsed Idempotency-Key header. */
-export type RequestKey = {
+export type IdempotencyKey = {
 	readonly ticket: Ticket;
 	/** Ledger id of the request: made from the caller, the ticket's nonce and the name that the caller chose. */
 	readonly id: string;
@@ -32,7 +32,7 @@
 }
 
 /** Serializes a ticket, authenticated with the first of the shared keys. */
-export function writeTicket(ticket: Omit<Ticket, 'nonce'>, keys: readonly string[]): string {
+export function signTicket(ticket: Omit<Ticket, 'nonce'>, keys: readonly string[]): string {
 	const payload = Buffer.from(JSON.stringify({...ticket, nonce: randomBytes(nonceBytes).toString('base64url')})).toString('base64url');
 	return `${payload}.${computeMac(payload, keys[0] ?? '').toString('base64url')}`;
 }
@@ -65,7 +65,7 @@
 }
 
 /** Parses `TICKET~NAME`; throws `headerInvalid` or `ticketWrong`. */
-export function readKey(header: string, caller: string, keys: readonly string[]): RequestKey {
+export function readIdempotencyKey(header: string, caller: string, keys: readonly string[]): IdempotencyKey {
 	const tilde = header.lastIndexOf('~');
 	const name = header.slice(tilde + 1);
 	if (tilde < 0 || !namePattern.test(name)) {
--- a/packages/host/src/core/answer.ts
+++ b/packages/host/src/core/token-stream.ts
@@ -7,24 +7,24 @@
 import {type Failure} from '@gatehead/schema/failure';
 
 /** How a stream ended. */
-export type AnswerEnd
-	= | {readonly kind: 'whole'; readonly reason: 'stop' | 'length'}
+export type StreamEnd
+	= | {readonly kind: 'complete'; readonly reason: 'stop' | 'length'}
 		| {readonly kind: 'failed'; readonly failure: Failure};
 
 /** Receives the tokens and the end of a stream. */
-export type AnswerReader = {
+export type StreamReader = {
 	onToken(n: number, text: string, position: string): void;
-	onEnd(end: AnswerEnd): void;
+	onEnd(end: StreamEnd): void;
 };
 
 /** Token stream of one request. */
-export class Answer {
+export class TokenStream {
 	readonly tokens: string[] = [];
 	/** Engine and attempt that produce the current tokens, as `engine/attempt`; part of the event ids. */
 	position = '';
-	readonly #readers = new Set<AnswerReader>();
+	readonly #readers = new Set<StreamReader>();
 	readonly #onAbandoned: () => void;
-	#end: AnswerEnd | undefined;
+	#end: StreamEnd | undefined;
 
 	/** `onAbandoned` is called when the last reader detaches before the end. The first `knownTokens` tokens are empty strings, as the caller already has them. */
 	constructor(onAbandoned: () => void, knownTokens = 0) {
@@ -32,12 +32,12 @@
 		this.tokens.push(...Array.from<string>({length: knownTokens}).fill(''));
 	}
 
-	get end(): AnswerEnd | undefined {
+	get end(): StreamEnd | undefined {
 		return this.#end;
 	}
 
 	/** Adds a reader and replays the tokens from number `from` on; a stream that has ended reports its end at once. */
-	attach(reader: AnswerReader, from = 0): void {
+	attach(reader: StreamReader, from = 0): void {
 		for (const [n, text] of this.tokens.entries()) {
 			if (n >= from) {
 				reader.onToken(n, text, this.position);
@@ -52,14 +52,14 @@
 	}
 
 	/** Removes a reader. */
-	detach(reader: AnswerReader): void {
+	detach(reader: StreamReader): void {
 		if (this.#readers.delete(reader) && this.#readers.size === 0 && this.#end === undefined) {
 			this.#onAbandoned();
 		}
 	}
 
 	/** Appends token number `n` (zero-based) if it is the next one and the stream has not ended. Returns whether it was appended. */
-	take(n: number, text: string): boolean {
+	append(n: number, text: string): boolean {
 		if (this.#end !== undefined || n !== this.tokens.length) {
 			return false;
 		}
@@ -73,7 +73,7 @@
 	}
 
 	/** Ends the stream; later calls have no effect. */
-	finish(end: AnswerEnd): void {
+	finish(end: StreamEnd): void {
 		if (this.#end !== undefined) {
 			return;
 		}
--- a/packages/host/src/front/answer-writer.test.ts
+++ b/packages/host/src/front/answer-writer.test.ts
@@ -4,7 +4,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {ManualClock} from '@gatehead/policy/utils/manual-clock';
-import {Answer} from '../core/answer.js';
+import {TokenStream} from '../core/token-stream.js';
 import {AnswerWriter} from './answer-writer.js';
 
 const stallMs = 400;
@@ -61,13 +61,13 @@
 			const clock = new ManualClock();
 			const {response, close} = await openResponse(isReading);
 			let isUnread = false;
-			const answer = new Answer(() => {
+			const answer = new TokenStream(() => {
 				isUnread = true;
 			});
 			new AnswerWriter(response, {
 				request: 'r', model: 'm', dialect: 'completion', isStream: true, run: '', from: 0,
 			}, answer, clock, stallMs).start();
-			answer.take(0, 'word');
+			answer.append(0, 'word');
 			if (drainsAfterMs !== undefined) {
 				clock.advance(drainsAfterMs);
 				response.emit('drain');
--- a/packages/host/src/front/answer-writer.ts
+++ b/packages/host/src/front/answer-writer.ts
@@ -5,7 +5,7 @@
  */
 import {type ServerResponse} from 'node:http';
 import {type Clock, type Timer} from '@gatehead/policy/utils/clock';
-import {type Answer, type AnswerEnd, type AnswerReader} from '../core/answer.js';
+import {type TokenStream, type StreamEnd, type StreamReader} from '../core/token-stream.js';
 import {
 	errorBodyOf, openEvents, sendFailure, sendJson, writeEvent,
 } from './reply.js';
@@ -36,15 +36,15 @@
 };
 
 /** Writes an answer as it grows. */
-export class AnswerWriter implements AnswerReader {
+export class AnswerWriter implements StreamReader {
 	readonly #response: ServerResponse;
 	readonly #writing: Writing;
-	readonly #answer: Answer;
+	readonly #answer: TokenStream;
 	readonly #clock: Clock;
 	readonly #stallMs: number;
 	#stall: Timer | undefined;
 
-	constructor(response: ServerResponse, writing: Writing, answer: Answer, clock: Clock, stallMs: number) {
+	constructor(response: ServerResponse, writing: Writing, answer: TokenStream, clock: Clock, stallMs: number) {
 		this.#response = response;
 		this.#writing = writing;
 		this.#answer = answer;
@@ -79,7 +79,7 @@
 		}
 	}
 
-	onEnd(end: AnswerEnd): void {
+	onEnd(end: StreamEnd): void {
 		this.#stall?.stop();
 		if (end.kind === 'failed') {
 			this.#fail(end);
@@ -109,7 +109,7 @@
 		};
 	}
 
-	#fail({failure}: Extract<AnswerEnd, {kind: 'failed'}>): void {
+	#fail({failure}: Extract<StreamEnd, {kind: 'failed'}>): void {
 		if (!this.#response.headersSent) {
 			sendFailure(this.#response, failure);
 			return;
--- a/packages/host/src/front/completions.ts
+++ b/packages/host/src/front/completions.ts
@@ -12,10 +12,10 @@
 import {check} from '@gatehead/schema/check';
 import {fail} from '@gatehead/schema/failure';
 import {countTokens, digestBlocks} from '@gatehead/schema/prompt-blocks';
-import {Answer} from '../core/answer.js';
+import {TokenStream} from '../core/token-stream.js';
 import {dispatch} from '../core/dispatch.js';
-import {readKey, type RequestKey} from '../core/ticket.js';
-import {type Work} from '../core/work.js';
+import {readIdempotencyKey, type IdempotencyKey} from '../core/ticket.js';
+import {type ModelRequest} from '../core/model-request.js';
 import {takeOver} from './take-over.js';
 import {AnswerWriter, type Dialect} from './answer-writer.js';
 import {enterLedger, findCustody} from './custody.js';
@@ -41,7 +41,7 @@
 	},
 };
 
-function makeWork({inForce: {bundle}, caller, arrivedAt}: Call, {body, prompt}: Wish, id: string): Work {
+function makeWork({inForce: {bundle}, caller, arrivedAt}: Call, {body, prompt}: Wish, id: string): ModelRequest {
 	const model = bundle.models.find(each => each.name === body.model) ?? fail('modelUnknown');
 	if (body.adapter !== undefined && !model.adapters.some(each => each.name === body.adapter)) {
 		fail('adapterUnknown');
@@ -58,15 +58,15 @@
 }
 
 /** Starts a request; it is cancelled when its last reader leaves. */
-function begin(parts: FrontParts, work: Work, mostAttempts: number, ended: () => void): Answer {
+function begin(parts: FrontParts, work: ModelRequest, mostAttempts: number, ended: () => void): TokenStream {
 	const abort = new AbortController();
 	const {context} = parts;
-	const answer = new Answer(() => {
-		context.timeline.note({kind: 'callerGone', request: work.id, caller: work.caller.name});
+	const answer = new TokenStream(() => {
+		context.timeline.record({kind: 'callerGone', request: work.id, caller: work.caller.name});
 		abort.abort();
 	});
 	context.counters.count('accepted', work.caller.name);
-	context.timeline.note({kind: 'requestArrived', request: work.id, caller: work.caller.name});
+	context.timeline.record({kind: 'requestArrived', request: work.id, caller: work.caller.name});
 	const run = async () => {
 		await dispatch(parts.attempts, work, answer, abort.signal, mostAttempts);
 		ended();
@@ -79,11 +79,11 @@
 	return answer;
 }
 
-function guard(parts: FrontParts, work: Work, body: Uint8Array, {id, ticket}: RequestKey, mostAttempts: number): Answer {
+function guard(parts: FrontParts, work: ModelRequest, body: Uint8Array, {id, ticket}: IdempotencyKey, mostAttempts: number): TokenStream {
 	const {entry: {job}} = enterLedger(parts, {
 		id,
 		bodyDigest: digestOf(Buffer.from(body).toString('base64')),
-		lapsesAt: parts.context.toOwnClock(ticket.expires),
+		lapsesAt: parts.context.toMonotonicTime(ticket.expires),
 		createJob(): Job {
 			const answer = begin(parts, work, mostAttempts, () => {
 				closeEntry(parts, id, answer);
@@ -95,7 +95,7 @@
 }
 
 /** A model request may be repeated: one that failed leaves the ledger, a whole answer stays to be read again. */
-function closeEntry({ledger}: FrontParts, id: string, {end}: Answer): void {
+function closeEntry({ledger}: FrontParts, id: string, {end}: TokenStream): void {
 	if (end?.kind === 'failed') {
 		ledger.withdraw(id);
 		return;
@@ -127,7 +127,7 @@
 		request: work.id, model: work.model.name, dialect, isStream: wish.body.stream, run: key === undefined ? '' : run, from: position === undefined ? 0 : position.last + 1,
 	}, answer, clock, settings.timing.readerStallMs).start();
 
-	function answerOf(): Answer {
+	function answerOf(): TokenStream {
 		if (isHere) {
 			return guard(parts, work, raw, key, mostAttempts);
 		}
@@ -144,7 +144,7 @@
 	}
 }
 
-function readOptionalKey({request}: Call, caller: Caller, keys: readonly string[]): RequestKey | undefined {
+function readOptionalKey({request}: Call, caller: Caller, keys: readonly string[]): IdempotencyKey | undefined {
 	const header = headerOf(request, callerHeaders.key);
-	return header === undefined ? undefined : readKey(header, caller.name, keys);
+	return header === undefined ? undefined : readIdempotencyKey(header, caller.name, keys);
 }
--- a/packages/host/src/front/custody.ts
+++ b/packages/host/src/front/custody.ts
@@ -7,7 +7,7 @@
 import {fail} from '@gatehead/schema/failure';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
 import {type LedgerCall, type LedgerEntry} from '@gatehead/policy/core/ledger';
-import {type RequestKey} from '../core/ticket.js';
+import {type IdempotencyKey} from '../core/ticket.js';
 import {type FrontParts, type Job} from './parts.js';
 
 /** Where a keyed request belongs. */
@@ -18,7 +18,7 @@
 		| {readonly kind: 'unreachable'};
 
 /** Finds out where a keyed request belongs. */
-export function findCustody({context: {self}, fleet}: FrontParts, {ticket}: RequestKey): Custody {
+export function findCustody({context: {self}, fleet}: FrontParts, {ticket}: IdempotencyKey): Custody {
 	if (ticket.host === self.host) {
 		return ticket.incarnation === self.incarnation ? {kind: 'here'} : {kind: 'gone'};
 	}
@@ -62,7 +62,7 @@
 
 		case 'repeat': {
 			context.counters.count('attached');
-			context.timeline.note({kind: 'requestAttached', request: call.id});
+			context.timeline.record({kind: 'requestAttached', request: call.id});
 			return {entry: verdict.entry, isRepeat: true};
 		}
 
--- a/packages/host/src/front/forward.ts
+++ b/packages/host/src/front/forward.ts
@@ -35,7 +35,7 @@
 /** Passes a call on; the answer goes straight to the caller. */
 export function forward({context}: FrontParts, {request, response, url}: Call, body: Uint8Array, member: MemberRecord): void {
 	context.counters.count('forwarded');
-	context.timeline.note({kind: 'requestForwarded', peer: member.host});
+	context.timeline.record({kind: 'requestForwarded', peer: member.host});
 	const {ip, port} = splitAddress(member.callerAddress);
 	const onward = httpRequest({
 		host: ip, port, method: request.method, path: url.pathname + url.search, headers: headersOf(request, body.length), agent: false,
--- a/packages/host/src/front/lookups.ts
+++ b/packages/host/src/front/lookups.ts
@@ -4,7 +4,7 @@
  */
 import {type HostsAnswer} from '@gatehead/schema/caller-protocol';
 import {timeToLive} from '@gatehead/policy/core/lookup';
-import {writeTicket} from '../core/ticket.js';
+import {signTicket} from '../core/ticket.js';
 import {type Call, type FrontParts} from './parts.js';
 import {sendJson} from './reply.js';
 
@@ -23,7 +23,7 @@
 		host,
 		address: callerAddress,
 		hall,
-		ticket: writeTicket({
+		ticket: signTicket({
 			host, incarnation, caller: caller.name, expires,
 		}, keys.tickets),
 	}));
--- a/packages/host/src/front/parts.ts
+++ b/packages/host/src/front/parts.ts
@@ -7,9 +7,9 @@
 import {type Ledger} from '@gatehead/policy/core/ledger';
 import {type Caller} from '@gatehead/schema/bundle';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
-import {type Answer} from '../core/answer.js';
-import {type AttemptParts} from '../core/attempt.js';
-import {type BundleStore, type InForce} from '../core/bundle-store.js';
+import {type TokenStream} from '../core/token-stream.js';
+import {type AttemptOptions} from '../core/attempt.js';
+import {type BundleStore, type AdoptedBundle} from '../core/bundle-store.js';
 import {type Context} from '../core/context.js';
 import {type CallOutcome} from './service-call.js';
 
@@ -25,7 +25,7 @@
 
 /** What the ledger guards: a growing answer, a plain call, or one whose answer was let go. */
 export type Job
-	= | {readonly kind: 'completion'; readonly answer: Answer}
+	= | {readonly kind: 'completion'; readonly answer: TokenStream}
 		| {readonly kind: 'call'; readonly outcome: Promise<CallOutcome>};
 
 /** Shared by all handlers. */
@@ -34,7 +34,7 @@
 	readonly bundles: BundleStore;
 	readonly fleet: Fleet;
 	readonly ledger: Ledger<Job>;
-	readonly attempts: AttemptParts;
+	readonly attempts: AttemptOptions;
 	/** Whether a planned stop has come so far that nothing new is begun; what is known stays answerable. */
 	readonly isStopping: () => boolean;
 	/** Whether this process knows enough to serve. */
@@ -47,7 +47,7 @@
 	readonly response: ServerResponse;
 	readonly url: URL;
 	readonly caller: Caller;
-	readonly inForce: InForce;
+	readonly inForce: AdoptedBundle;
 	/** Own clock's instant of arrival. */
 	readonly arrivedAt: number;
 };
--- a/packages/host/src/front/service-call.ts
+++ b/packages/host/src/front/service-call.ts
@@ -10,7 +10,7 @@
 import {
 	CallError, readText, sendCall, sendOnce, type Call as HttpCall,
 } from '../core/http-call.js';
-import {StallWatch} from '../core/stall.js';
+import {StallTimer} from '../core/stall-timer.js';
 import {type Context} from '../core/context.js';
 
 const mostAnswerBytes = 4_000_000;
@@ -80,16 +80,16 @@
 async function callReplica(parts: CallParts, call: ServiceCall, replica: Replica): Promise<CallOutcome> {
 	const {context: {clock, counters, timeline}} = parts;
 	const {id, service} = call;
-	const watch = new StallWatch(clock, service.timeoutMs, new AbortController().signal);
+	const watch = new StallTimer(clock, service.timeoutMs, new AbortController().signal);
 	counters.count('calls', service.name);
-	timeline.note({kind: 'callStarted', request: id, endpoint: replica.name});
+	timeline.record({kind: 'callStarted', request: id, endpoint: replica.name});
 	try {
 		return await exchange(parts, call, replica, watch.signal);
 	} catch (error) {
 		return {kind: 'failed', failure: judge(error)};
 	} finally {
 		watch.stop();
-		timeline.note({kind: 'callEnded', request: id, endpoint: replica.name});
+		timeline.record({kind: 'callEnded', request: id, endpoint: replica.name});
 	}
 }
 
@@ -114,7 +114,7 @@
 
 /** Only a failure before the first byte left proves that the call did not run. */
 function judge(error: unknown): Failure {
-	if (error instanceof CallError && !error.left) {
+	if (error instanceof CallError && !error.mayHaveBeenSent) {
 		return new Failure('endpointsDown', {retryAfterMs: comeBackMs, cause: error});
 	}
 
--- a/packages/host/src/front/services.ts
+++ b/packages/host/src/front/services.ts
@@ -8,7 +8,7 @@
 import {callerHeaders, callerPaths} from '@gatehead/schema/caller-protocol';
 import {type Service} from '@gatehead/schema/bundle';
 import {fail} from '@gatehead/schema/failure';
-import {readKey, type RequestKey} from '../core/ticket.js';
+import {readIdempotencyKey, type IdempotencyKey} from '../core/ticket.js';
 import {enterLedger, failCustody, findCustody} from './custody.js';
 import {forward, isForwarded} from './forward.js';
 import {headerOf, readBody} from './intake.js';
@@ -42,7 +42,7 @@
 	const {request, caller, url} = call;
 	const body = await readBody(request, parts.context.settings.limits);
 	const header = headerOf(request, callerHeaders.key);
-	const key = header === undefined ? undefined : readKey(header, caller.name, parts.context.settings.keys.tickets);
+	const key = header === undefined ? undefined : readIdempotencyKey(header, caller.name, parts.context.settings.keys.tickets);
 	const serviceCall: ServiceCall = {
 		id: key?.id ?? makeId(), service, method: request.method ?? 'GET', path: url.pathname.slice(callerPaths.services.length + service.name.length) + url.search || '/', contentType: request.headers['content-type'] ?? 'application/octet-stream', body,
 	};
@@ -69,12 +69,12 @@
 }
 
 /** Runs a keyed call once; later calls under the key wait for the same outcome. */
-async function callGuarded(parts: FrontParts, calls: CallParts, call: ServiceCall, {id, ticket}: RequestKey): Promise<CallOutcome> {
+async function callGuarded(parts: FrontParts, calls: CallParts, call: ServiceCall, {id, ticket}: IdempotencyKey): Promise<CallOutcome> {
 	const {ledger, context} = parts;
 	const {entry: {job}, isRepeat} = enterLedger(parts, {
 		id,
 		bodyDigest: digestOf(`${call.method} ${call.path}\n${Buffer.from(call.body).toString('base64')}`),
-		lapsesAt: context.toOwnClock(ticket.expires),
+		lapsesAt: context.toMonotonicTime(ticket.expires),
 		createJob: (): Job => ({kind: 'call', outcome: callService(calls, call)}),
 	});
 	if (job.kind !== 'call') {
--- a/packages/host/src/front/take-over.ts
+++ b/packages/host/src/front/take-over.ts
@@ -5,17 +5,17 @@
  * another caller's stream; tokens are taken by their numbers as ever.
  */
 import {Failure, toFailure} from '@gatehead/schema/failure';
-import {Answer} from '../core/answer.js';
-import {StallWatch} from '../core/stall.js';
-import {type RequestKey} from '../core/ticket.js';
-import {type Work} from '../core/work.js';
+import {TokenStream} from '../core/token-stream.js';
+import {StallTimer} from '../core/stall-timer.js';
+import {type IdempotencyKey} from '../core/ticket.js';
+import {type ModelRequest} from '../core/model-request.js';
 import {type StreamPosition} from './intake.js';
 import {type FrontParts} from './parts.js';
 
 /** Reads the rest of a stream into an answer; it ends with `streamGone` where the engine no longer holds it. */
-export function takeOver(parts: FrontParts, work: Work, {id}: RequestKey, position: StreamPosition): Answer {
+export function takeOver(parts: FrontParts, work: ModelRequest, {id}: IdempotencyKey, position: StreamPosition): TokenStream {
 	const abort = new AbortController();
-	const answer = new Answer(() => {
+	const answer = new TokenStream(() => {
 		abort.abort();
 	}, position.last + 1);
 	const request = `${id}.${position.run}`;
@@ -36,14 +36,14 @@
 }
 
 /** Claims the stream at its cell's keeper, then resumes it at the engine under this host's name. */
-async function readRest({attempts: {client, desk, findEngine, context}}: FrontParts, work: Work, request: string, {engine: name, attempt, last}: StreamPosition, answer: Answer, signal: AbortSignal): Promise<void> {
+async function readRest({attempts: {client, leases, findEngine, context}}: FrontParts, work: ModelRequest, request: string, {engine: name, attempt, last}: StreamPosition, answer: TokenStream, signal: AbortSignal): Promise<void> {
 	const engine = findEngine(name);
 	if (engine === undefined) {
 		throw new Failure('streamGone');
 	}
 
-	desk.takeOver(work, {request, attempt}, name);
-	const watch = new StallWatch(context.clock, context.settings.timing.endpointStallMs, signal);
+	leases.takeOver(work, {request, attempt}, name);
+	const watch = new StallTimer(context.clock, context.settings.timing.endpointStallMs, signal);
 	try {
 		const answered = await client.resume(engine.address, {
 			request, attempt, owner: context.self, from: last + 1,
@@ -53,20 +53,20 @@
 		}
 
 		context.counters.count('resumed');
-		context.timeline.note({
+		context.timeline.record({
 			kind: 'resumed', request, attempt, endpoint: name,
 		});
 		answer.position = `${name}/${attempt}`;
 		for await (const line of answered.result) {
-			watch.touch();
+			watch.reset();
 			if (line.request !== request || line.attempt !== attempt) {
 				continue;
 			}
 
 			if (line.kind === 'token') {
-				answer.take(line.n, line.text);
+				answer.append(line.n, line.text);
 			} else if (line.kind === 'end' && line.tokens === answer.tokens.length) {
-				answer.finish({kind: 'whole', reason: line.reason});
+				answer.finish({kind: 'complete', reason: line.reason});
 			}
 		}
 
@@ -77,19 +77,19 @@
 }
 
 /** Gives the claim back; what may still be held is cancelled first. */
-function release({attempts: {canceller, desk, findEngine}}: FrontParts, request: string, {engine: name, attempt}: StreamPosition, answer: Answer): void {
+function release({attempts: {canceller, leases, findEngine}}: FrontParts, request: string, {engine: name, attempt}: StreamPosition, answer: TokenStream): void {
 	const engine = findEngine(name);
 	const lease = {request, attempt};
 	const giveBack = () => {
-		desk.release(lease, {tokens: 0, goodput: false});
+		leases.release(lease, {tokens: 0, goodput: false});
 	};
 
-	if (engine === undefined || answer.end?.kind === 'whole') {
+	if (engine === undefined || answer.end?.kind === 'complete') {
 		giveBack();
 		return;
 	}
 
 	canceller.cancel({
-		engine: name, address: engine.address, request, attempt, confirmed: giveBack,
+		engine: name, address: engine.address, request, attempt, onConfirmed: giveBack,
 	});
 }
--- a/packages/host/src/host.ts
+++ b/packages/host/src/host.ts
@@ -123,7 +123,7 @@
 			isReady: () => this.#readiness.isReady,
 			isStopping: () => this.#callerFront.isStopping,
 			attempts: {
-				context, client: this.#engineClient, canceller: this.#canceller, desk: this.#leaseClient, findEngine: name => this.#getBundle().engines.find(each => each.name === name),
+				context, client: this.#engineClient, canceller: this.#canceller, leases: this.#leaseClient, findEngine: name => this.#getBundle().engines.find(each => each.name === name),
 			},
 		};
 		this.#callerFront = new CallerFront(this.#frontParts, {context, agent: this.#agent, takesWork: (_service, replica) => !this.#isClosed && !isLeaving(replica)});
@@ -163,7 +163,7 @@
 		this.#leaseClient.start();
 		this.#sweepLedger();
 		log('started', {caller, peer, admin});
-		timeline.note({kind: 'started'});
+		timeline.record({kind: 'started'});
 		return {caller, peer, admin};
 	}
 
--- a/packages/host/src/keeper/keeper.ts
+++ b/packages/host/src/keeper/keeper.ts
@@ -6,7 +6,7 @@
 import {deriveCells, selectKeeper, type Cell} from '@gatehead/policy/core/cell';
 import {type MemberRecord, type PeerMessage} from '@gatehead/schema/peer-message';
 import {toCanonicalJson} from '@gatehead/schema/canonical-json';
-import {type BundleStore, type InForce} from '../core/bundle-store.js';
+import {type BundleStore, type AdoptedBundle} from '../core/bundle-store.js';
 import {type Canceller} from '../core/canceller.js';
 import {type Context} from '../core/context.js';
 import {type EngineClient} from '../core/engine-client.js';
@@ -153,23 +153,23 @@
 		this.#kept.get(name)?.stop();
 		this.#kept.delete(name);
 		this.#contents.delete(name);
-		this.#parts.context.timeline.note({kind: 'keeperChanged', detail: `lays down ${name}`});
+		this.#parts.context.timeline.record({kind: 'keeperChanged', detail: `lays down ${name}`});
 	}
 
-	#takeUp(cell: Cell, inForce: InForce): void {
+	#takeUp(cell: Cell, inForce: AdoptedBundle): void {
 		const {context, client, canceller, send, bundles, isLeaving} = this.#parts;
 		const kept = new KeptCell(cell, inForce.bundle, {
 			context, client, canceller, send, isLeaving, orders: this.#orders, findCaller: name => bundles.inForce?.bundle.callers.find(each => each.name === name),
 		});
 		this.#kept.set(cell.name, kept);
 		this.#contents.set(cell.name, contentOf(cell, inForce));
-		context.timeline.note({kind: 'keeperChanged', detail: `takes up ${cell.name}`});
+		context.timeline.record({kind: 'keeperChanged', detail: `takes up ${cell.name}`});
 		kept.start();
 	}
 }
 
 /** All that a kept cell was made from. */
-function contentOf(cell: Cell, {bundle: {rules, models}}: InForce): string {
+function contentOf(cell: Cell, {bundle: {rules, models}}: AdoptedBundle): string {
 	return toCanonicalJson({
 		cell, rules, models,
 	});
--- a/packages/host/src/keeper/kept-cell.ts
+++ b/packages/host/src/keeper/kept-cell.ts
@@ -282,7 +282,7 @@
 		for (const {request, attempt, owner} of this.#orphans.findOrphans(report, key => this.#holders.has(key), now)) {
 			context.log('orphanCancelled', {endpoint: engine.name, owner: owner.host});
 			context.counters.count('orphans');
-			context.timeline.note({
+			context.timeline.record({
 				kind: 'orphanCancelled', request, attempt, endpoint: engine.name, peer: owner.host,
 			});
 			canceller.cancel({
--- a/packages/host/src/keeper/lease-client.ts
+++ b/packages/host/src/keeper/lease-client.ts
@@ -13,8 +13,8 @@
 } from '@gatehead/schema/peer-message';
 import {leaseKey} from '@gatehead/policy/scheduler/decode-pool';
 import {type Context} from '../core/context.js';
-import {type LeaseDesk, type LeaseEnd, type LeaseName} from '../core/lease-desk.js';
-import {type Work} from '../core/work.js';
+import {type LeaseProvider, type LeaseOutcome, type LeaseId} from '../core/lease-provider.js';
+import {type ModelRequest} from '../core/model-request.js';
 import {type PeerLinks} from '../peer/peer-links.js';
 
 const comeBackMs = 1000;
@@ -50,7 +50,7 @@
 };
 
 /** Leases of this host's requests. */
-export class LeaseClient implements LeaseDesk {
+export class LeaseClient implements LeaseProvider {
 	readonly #parts: LeaseClientParts;
 	readonly #holdings = new Map<string, Holding>();
 	/** Keeper to which each cell's claims last went. */
@@ -84,7 +84,7 @@
 		this.#timer?.stop();
 	}
 
-	async askPrefill(model: string, ask: LeaseAsk, signal: AbortSignal): Promise<string> {
+	async acquirePrefill(model: string, ask: LeaseAsk, signal: AbortSignal): Promise<string> {
 		const {clock, self} = this.#parts.context;
 		const cell = this.#chooseCell(model, self.host);
 		const holding: Holding = {
@@ -96,7 +96,7 @@
 		}));
 	}
 
-	async askDecode(lease: LeaseName, cachedTokens: number, holdMs: number, signal: AbortSignal): Promise<string> {
+	async acquireDecode(lease: LeaseId, cachedTokens: number, holdMs: number, signal: AbortSignal): Promise<string> {
 		const holding = this.#holdings.get(leaseKey(lease)) ?? fail('overloaded', {retryAfterMs: comeBackMs});
 		holding.stage = 'ready';
 		const lapsesAt = this.#parts.context.clock.now() + holdMs;
@@ -105,7 +105,7 @@
 		}));
 	}
 
-	takeOver({model, caller, promptTokens, maxTokens}: Work, {request, attempt}: LeaseName, engine: string): void {
+	takeOver({model, caller, promptTokens, maxTokens}: ModelRequest, {request, attempt}: LeaseId, engine: string): void {
 		const ask: LeaseAsk = {
 			request, attempt, caller: caller.name, priority: caller.priority, promptTokens, maxTokens, blocks: [], slackMs: 0, accepted: true,
 		};
@@ -117,17 +117,17 @@
 		this.#claim(cell, [claimOf(holding)]);
 	}
 
-	started(lease: LeaseName): void {
+	reportStarted(lease: LeaseId): void {
 		this.#tell(lease, cell => ({kind: 'started', cell, ...lease}));
 	}
 
-	bounced(lease: LeaseName, engine: string, lost: boolean): void {
+	reportFailure(lease: LeaseId, engine: string, lost: boolean): void {
 		this.#tell(lease, cell => ({
 			kind: 'bounced', cell, ...lease, engine, lost,
 		}));
 	}
 
-	release(lease: LeaseName, {tokens, goodput}: LeaseEnd): void {
+	release(lease: LeaseId, {tokens, goodput}: LeaseOutcome): void {
 		this.#tell(lease, cell => ({
 			kind: 'release', cell, ...lease, tokens: Math.max(0, tokens), goodput,
 		}));
@@ -304,7 +304,7 @@
 		this.#parts.links().send(keeper, holding.message());
 	}
 
-	#tell(lease: LeaseName, make: (cell: string) => PeerMessage): void {
+	#tell(lease: LeaseId, make: (cell: string) => PeerMessage): void {
 		const holding = this.#holdings.get(leaseKey(lease));
 		const keeper = holding === undefined ? undefined : this.#keeperOf(holding.cell);
 		if (holding !== undefined && keeper !== undefined) {
--- a/packages/host/src/keeper/orders.ts
+++ b/packages/host/src/keeper/orders.ts
@@ -80,10 +80,10 @@
 			}
 
 			context.counters.count('ordersSent');
-			context.timeline.note({kind: 'orderSent', endpoint: name, bundleVersion: order.fence});
+			context.timeline.record({kind: 'orderSent', endpoint: name, bundleVersion: order.fence});
 			const {obeyed, fence} = await client.order(address, order, abort.signal);
 			if (obeyed) {
-				context.timeline.note({kind: 'orderObeyed', endpoint: name, bundleVersion: fence});
+				context.timeline.record({kind: 'orderObeyed', endpoint: name, bundleVersion: fence});
 			} else if (fence > bundles.version) {
 				onHigherFence(fence);
 			}
--- a/packages/host/src/peer/membership.ts
+++ b/packages/host/src/peer/membership.ts
@@ -218,7 +218,7 @@
 		this.members.updateSelf({});
 		context.log('lateWake', {lateMs: Math.round(late)});
 		context.counters.count('lateWakes');
-		context.timeline.note({kind: 'lateWake', detail: `${Math.round(late)} ms`});
+		context.timeline.record({kind: 'lateWake', detail: `${Math.round(late)} ms`});
 		onLateWake();
 	}
 
--- a/packages/host/src/peer/noted-hosts.ts
+++ b/packages/host/src/peer/noted-hosts.ts
@@ -40,7 +40,7 @@
 		}
 
 		log(stateCodes[state], {peer: host, load});
-		timeline.note({kind: 'memberChanged', peer: host, detail: state});
+		timeline.record({kind: 'memberChanged', peer: host, detail: state});
 	}
 
 	/** Forgets hosts that have been dead for long and that the list no longer names; returns them. */
--- a/packages/host/src/utils/log.ts
+++ b/packages/host/src/utils/log.ts
@@ -5,17 +5,17 @@
 import {type Settings} from '@gatehead/schema/settings';
 
 /** Additional fields of a log line. */
-export type LogFacts = Readonly<Record<string, string | number | boolean | undefined>>;
+export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 /** Writes one log line. */
-export type Log = (code: Code, fields?: LogFacts) => void;
+export type Log = (code: Code, fields?: LogFields) => void;
 
 /** Codes logged as errors, which need an operator's attention. */
 const errorCodes = new Set<Code>(['bundleSignature', 'bundleConflict', 'bundleInvalid', 'orderFenced', 'peerRefused', 'internal']);
 const warningCodes = new Set<Code>(['bundleOlder', 'configurationDown', 'memberSuspect', 'memberDead', 'lateWake', 'endpointSuspect', 'orphanCancelled', 'endpointFault', 'directoryLost', 'endpointPaused', 'answerLost', 'timeoutSpent', 'streamBroken', 'attemptsSpent', 'overloaded', 'endpointsDown', 'linesLeftOut', 'directoryUnreadable', 'keysOutdatedSince', 'quotaKeeperSilent', 'directoryUnconfirmed', 'directoryRestored', 'sentToLeaving']);
 
 /** Log level of a code. */
-export function levelOf(code: Code): 'error' | 'warn' | 'info' {
+export function getLogLevel(code: Code): 'error' | 'warn' | 'info' {
 	if (errorCodes.has(code)) {
 		return 'error';
 	}
@@ -33,7 +33,7 @@
 	});
 	return (code, fields = {}) => {
 		logger.log({
-			level: levelOf(code), message: codes[code].advice, code: codes[code].number, name: code, ...fields,
+			level: getLogLevel(code), message: codes[code].advice, code: codes[code].number, name: code, ...fields,
 		});
 	};
 }
--- a/packages/host/src/utils/timeline.ts
+++ b/packages/host/src/utils/timeline.ts
@@ -3,7 +3,7 @@
 import {type HybridClock} from './hybrid-clock.js';
 
 /** An event without its timestamp and host, which the timeline adds. */
-export type Note = Omit<Event, 'clock' | 'host'>;
+export type TimelineEntry = Omit<Event, 'clock' | 'host'>;
 
 /** Keeps up to `capacity` events. */
 export class Timeline {
@@ -22,8 +22,8 @@
 	}
 
 	/** Adds an event, and drops the oldest one if the buffer is full. */
-	note(note: Note): void {
-		const event: Event = {clock: this.#clock.stamp(), host: this.#host, ...note};
+	record(entry: TimelineEntry): void {
+		const event: Event = {clock: this.#clock.stamp(), host: this.#host, ...entry};
 		if (this.#events.length < this.#capacity) {
 			this.#events.push(event);
 			return;
--- a/packages/relay/src/utils/relay-log.ts
+++ b/packages/relay/src/utils/relay-log.ts
@@ -8,7 +8,7 @@
 import {type Writable} from 'node:stream';
 import {type Clock} from '@gatehead/policy/utils/clock';
 import {codes, type Code} from '@gatehead/schema/codes';
-import {levelOf, type Log, type LogFacts} from '@gatehead/host/utils/log';
+import {getLogLevel, type Log, type LogFields} from '@gatehead/host/utils/log';
 import {createLogger, format, transports} from 'winston';
 import {BoundedOutput} from './bounded-output.js';
 import {type Metrics} from './metrics.js';
@@ -67,9 +67,9 @@
 		}
 	};
 
-	#print(code: Code, facts: LogFacts, now: number): void {
+	#print(code: Code, facts: LogFields, now: number): void {
 		this.#logger.log({
-			level: levelOf(code), message: codes[code].advice, code: codes[code].number, name: code, time: new Date().toISOString(), at: Math.round(now), ...facts,
+			level: getLogLevel(code), message: codes[code].advice, code: codes[code].number, name: code, time: new Date().toISOString(), at: Math.round(now), ...facts,
 		});
 	}
 
--- a/packages/standin/src/matrix/bad-input.test.ts
+++ b/packages/standin/src/matrix/bad-input.test.ts
@@ -6,7 +6,7 @@
 import {codes, findCode, type Code} from '@gatehead/schema/codes';
 import {splitAddress} from '@gatehead/schema/address';
 import {errorBody, hostsAnswer} from '@gatehead/schema/caller-protocol';
-import {writeTicket} from '@gatehead/host/core/ticket';
+import {signTicket} from '@gatehead/host/core/ticket';
 import {CallerClient, type Wish} from '../utils/caller.js';
 import {Stage} from './stage.js';
 
@@ -31,7 +31,7 @@
 /** A ticket of the stage's first host, changed as wished. */
 function ticketOf({hosts}: Stage, change: {readonly caller?: string; readonly incarnation?: number; readonly expires?: number}): string {
 	const self = hosts[0]?.host.context.self;
-	return writeTicket({
+	return signTicket({
 		host: self?.host ?? '', incarnation: self?.incarnation ?? 0, caller: 'caller', expires: 1_900_000_000_000, ...change,
 	}, ticketKeys);
 }
@@ -55,7 +55,7 @@
 	{name: 'no ticket for a call that may not be repeated', code: 'ticketMissing', wish: () => post({}, '/services/labels/print')},
 	{name: 'a key without a name', code: 'headerInvalid', wish: stage => labelWish(ticketOf(stage, {}))},
 	{
-		name: 'a forged ticket', code: 'ticketWrong', wish: () => labelWish(`${writeTicket({
+		name: 'a forged ticket', code: 'ticketWrong', wish: () => labelWish(`${signTicket({
 			host: 'host-0', incarnation: 1, caller: 'caller', expires: 1,
 		}, ['cd'.repeat(32)])}~a`),
 	},
--- a/packages/standin/src/matrix/mutants.ts
+++ b/packages/standin/src/matrix/mutants.ts
@@ -1,6 +1,6 @@
 /** Takes out one mechanism in a test's wiring, to show that the matrix can fail. */
 import {Canceller} from '@gatehead/host/core/canceller';
-import {Answer} from '@gatehead/host/core/answer';
+import {TokenStream} from '@gatehead/host/core/token-stream';
 import {BundleStore} from '@gatehead/host/core/bundle-store';
 import {OrphanSearch} from '@gatehead/host/keeper/orphan-search';
 import {Host} from '@gatehead/host/host';
@@ -42,9 +42,9 @@
 	},
 	'token numbers': {
 		step: 'decode stream', fault: 'reset after', promise: 'own answer', takeOut() {
-			const {take} = Answer.prototype;
-			Answer.prototype.take = function (_n, text) {
-				return take.call(this, this.tokens.length, `${text}!`);
+			const {append} = TokenStream.prototype;
+			TokenStream.prototype.append = function (_n, text) {
+				return append.call(this, this.tokens.length, `${text}!`);
 			};
 		},
 	},
--- a/packages/standin/src/wire/world.ts
+++ b/packages/standin/src/wire/world.ts
@@ -7,7 +7,7 @@
 import {seedRandom} from '@gatehead/policy/utils/random';
 import {Relay} from '@gatehead/relay/relay';
 import {Metrics} from '@gatehead/relay/utils/metrics';
-import {type LogFacts} from '@gatehead/host/utils/log';
+import {type LogFields} from '@gatehead/host/utils/log';
 import {type Code} from '@gatehead/schema/codes';
 import {findPorts, ownAddress} from '../utils/ports.js';
 import {startReplica, type ReplicaLog, type StandinReplica} from './replica-server.js';
@@ -20,7 +20,7 @@
 export type LoggedLine = {
 	readonly host: string;
 	readonly code: Code;
-	readonly facts: LogFacts;
+	readonly facts: LogFields;
 	/** On the process's steady clock, in milliseconds. */
 	readonly at: number;
 };
