--- a/packages/host/src/core/attempt.ts
+++ b/packages/host/src/core/attempt.ts
@@ -128,15 +128,15 @@
 		const timer = this.#startStallTimer();
 		try {
 			this.#recordEvent('prefillStarted', engine.name);
-			const answered = await client.prefill(engine.address, this.#makeEngineRequest(), timer.signal);
-			if (answered.kind === 'refused') {
+			const reply = await client.prefill(engine.address, this.#makeEngineRequest(), timer.signal);
+			if (reply.kind === 'refused') {
 				this.#holders.delete(engine.name);
-				this.#reportFailure(engine, answered.refusal.refused, false);
+				this.#reportFailure(engine, reply.refusal.refused, false);
 				return undefined;
 			}
 
 			this.#recordEvent('prefillEnded', engine.name);
-			return {engine, result: answered.result, expiresAt: clock.now() + answered.result.holdMs};
+			return {engine, result: reply.result, expiresAt: clock.now() + reply.result.holdMs};
 		} catch (error) {
 			this.#reportFailure(engine, String(error), true);
 			return undefined;
@@ -183,23 +183,23 @@
 		const timer = this.#startStallTimer();
 		this.#holders.set(engine.name, engine);
 		try {
-			const answered = await this.#options.client.decode(engine.address, {
+			const reply = await this.#options.client.decode(engine.address, {
 				...this.#makeEngineRequest(), source: {address: source.address, handle: result.handle}, maxTokens: this.#request.maxTokens,
 			}, timer.signal);
-			if (answered.kind === 'refused') {
+			if (reply.kind === 'refused') {
 				this.#holders.delete(engine.name);
-				this.#reportFailure(engine, answered.refusal.refused, false);
-				if (answered.refusal.refused !== 'lapsed') {
+				this.#reportFailure(engine, reply.refusal.refused, false);
+				if (reply.refusal.refused !== 'lapsed') {
 					return 'retry';
 				}
 
-				this.#recordWastedPrefill(answered.refusal.refused);
+				this.#recordWastedPrefill(reply.refusal.refused);
 				return 'failed';
 			}
 
 			this.#holders.delete(source.name);
 			this.#options.context.counters.count('prefillUsed');
-			return await this.#readWithResume(answered.result, engine, timer) ? 'complete' : 'failed';
+			return await this.#readWithResume(reply.result, engine, timer) ? 'complete' : 'failed';
 		} catch (error) {
 			this.#reportFailure(engine, String(error), true);
 			return this.#signal.aborted ? 'failed' : 'retry';
@@ -246,16 +246,16 @@
 		const {client, context: {self, counters}} = this.#options;
 		const timer = this.#startStallTimer();
 		try {
-			const answered = await client.resume(engine.address, {
+			const reply = await client.resume(engine.address, {
 				request: this.#request.id, attempt: this.#number, owner: self, from: this.#stream.tokens.length,
 			}, timer.signal);
-			if (answered.kind === 'refused') {
+			if (reply.kind === 'refused') {
 				return undefined;
 			}
 
 			counters.count('resumed');
 			this.#recordEvent('resumed', engine.name);
-			return answered.result;
+			return reply.result;
 		} catch {
 			return undefined;
 		} finally {
--- a/packages/host/src/core/engine-client.ts
+++ b/packages/host/src/core/engine-client.ts
@@ -19,13 +19,13 @@
 const maxResponseLength = 4_000_000;
 const refusalStatus = 409;
 
-/** A result, or the engine's refusal, by which it runs and holds nothing of the request. */
+/** A result, or a refusal, by which the engine states that it neither runs the request nor holds resources for it. */
 export type EngineReply<Result> = {readonly kind: 'done'; readonly result: Result} | {readonly kind: 'refused'; readonly refusal: EngineRefusal};
 
 /** Lines of a decode stream as they arrive. */
 export type DecodeStream = AsyncIterable<StreamLine>;
 
-/** Calls engines over keep-alive connections. A response that is not valid raises `endpointFault`; a failed call, `CallError`. */
+/** Calls engines over keep-alive connections. Throws `endpointFault` for an unexpected status or content, `SyntaxError` for a body that is not JSON, and `CallError` for a failed call. */
 export class EngineClient {
 	readonly #agent: Agent = makeKeepAliveAgent();
 	#isClosed = false;
@@ -47,14 +47,14 @@
 
 	/** Cancels a request; the result says whether the engine still holds resources of it. */
 	async cancel(address: string, order: CancelOrder, signal: AbortSignal): Promise<CancelResult> {
-		const answered = await this.#call(address, enginePaths.cancel, order, cancelResult, signal);
-		return answered.kind === 'done' ? answered.result : {held: true};
+		const reply = await this.#call(address, enginePaths.cancel, order, cancelResult, signal);
+		return reply.kind === 'done' ? reply.result : {held: true};
 	}
 
 	/** Sends a fenced order. */
 	async order(address: string, order: EngineOrder, signal: AbortSignal): Promise<OrderResult> {
-		const answered = await this.#call(address, enginePaths.orders, order, orderResult, signal);
-		return answered.kind === 'done' ? answered.result : fail('endpointFault', {detail: 'the engine refused the order'});
+		const reply = await this.#call(address, enginePaths.orders, order, orderResult, signal);
+		return reply.kind === 'done' ? reply.result : fail('endpointFault', {detail: 'the engine refused the order'});
 	}
 
 	/** Reads what the engine holds, its load and its fence. */
--- a/packages/host/src/core/http-call.ts
+++ b/packages/host/src/core/http-call.ts
@@ -1,7 +1,7 @@
 /**
  * HTTP calls to endpoints, whose errors say whether the request may have been
- * sent. Safety: an error with `mayHaveBeenSent` false is thrown only before the first
- * byte of the request is written, so it proves "not run".
+ * sent. Safety: an error with `mayHaveBeenSent` false is thrown only before
+ * the first byte of the request is written, so it proves "not run".
  */
 import {
 	Agent, request as httpRequest, type ClientRequest, type IncomingMessage,
--- a/packages/host/src/core/platform-client.ts
+++ b/packages/host/src/core/platform-client.ts
@@ -16,7 +16,7 @@
 const maxResponseLength = 8_000_000;
 const responseTimeoutMs = 3000;
 
-/** Reads the platform; a response that is not valid raises `configurationDown`. */
+/** Reads the platform. Throws `configurationDown` for an unexpected status or content, `SyntaxError` for a body that is not JSON, and `CallError` for a failed call. */
 export class PlatformClient {
 	readonly #context: Context;
 	readonly #agent: Agent = makeKeepAliveAgent();
--- a/packages/host/src/core/stall-timer.ts
+++ b/packages/host/src/core/stall-timer.ts
@@ -37,7 +37,7 @@
 		this.#timer = this.#startTimer();
 	}
 
-	/** Stops the timer; the signal is not aborted any more. */
+	/** Stops the timer and detaches from the parent signal. */
 	stop(): void {
 		this.#timer.stop();
 		this.#parent.removeEventListener('abort', this.#onParentAbort);
--- a/packages/host/src/host.ts
+++ b/packages/host/src/host.ts
@@ -255,7 +255,7 @@
 		return Math.min(1, this.#callerFront.open / this.context.settings.limits.requests);
 	}
 
-	/** Hosts that may keep cells: the live ones, or all reachable hosts if no live one is left. */
+	/** Hosts that may keep cells: live hosts with a known incarnation, or all reachable hosts if there are none. */
 	#listKeeperCandidates(): MemberRecord[] {
 		const reachable = this.membership.members.listReachable();
 		const alive = reachable.filter(({state, incarnation}) => state === 'alive' && incarnation > 0);
