--- a/packages/host/src/core/ticket.ts
+++ b/packages/host/src/core/ticket.ts
@@ -58,7 +58,7 @@
 
 	const ticket = ticketPayload.parse(JSON.parse(Buffer.from(payload, 'base64url').toString('utf8')));
 	if (ticket.caller !== caller) {
-		fail('ticketWrong', {detail: 'the ticket was issued to another caller'});
+		fail('ticketWrong', {detail: 'the ticket was given to another caller'});
 	}
 
 	return ticket;
@@ -69,7 +69,7 @@
 	const tilde = header.lastIndexOf('~');
 	const name = header.slice(tilde + 1);
 	if (tilde < 0 || !namePattern.test(name)) {
-		fail('headerInvalid', {detail: 'Idempotency-Key must be TICKET~NAME, with a NAME of up to 64 letters, digits, - and _'});
+		fail('headerInvalid', {detail: 'Idempotency-Key: TICKET~NAME with a NAME of up to 64 letters, digits, - and _'});
 	}
 
 	const ticket = readTicket(header.slice(0, tilde), caller, keys);
