--- a/packages/host/src/front/answer-writer.test.ts
+++ b/packages/host/src/front/answer-writer.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: when a caller counts as gone while its answer is written. */
+/** Detection of callers that stop reading their response. */
 import {once} from 'node:events';
 import {createServer, request as httpRequest, type ServerResponse} from 'node:http';
 import {describe, it} from 'node:test';
@@ -11,26 +11,26 @@
 
 type Case = {
 	readonly name: string;
-	/** Whether the socket takes what is written. */
+	/** Whether `write` reports that the socket accepts more data. */
 	readonly isReading: boolean;
-	/** Time until the socket is free again, if it is at all. */
+	/** Delay before the `drain` event; undefined: the socket never drains. */
 	readonly drainsAfterMs: number | undefined;
 	readonly isGone: boolean;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'a caller that reads stays', isReading: true, drainsAfterMs: undefined, isGone: false,
+		name: 'keeps the connection of a caller that reads', isReading: true, drainsAfterMs: undefined, isGone: false,
 	},
 	{
-		name: 'a caller that stops reading is gone after the stall', isReading: false, drainsAfterMs: undefined, isGone: true,
+		name: 'closes the connection of a caller that stops reading for the stall timeout', isReading: false, drainsAfterMs: undefined, isGone: true,
 	},
 	{
-		name: 'a caller that reads on in time stays', isReading: false, drainsAfterMs: stallMs / 2, isGone: false,
+		name: 'keeps the connection of a caller that resumes reading before the timeout', isReading: false, drainsAfterMs: stallMs / 2, isGone: false,
 	},
 ];
 
-/** Opens a real response, whose `write` says what the case wants. */
+/** Opens a response on a real connection; `write` returns false where `isReading` is false. */
 async function openResponse(isReading: boolean): Promise<{readonly response: ServerResponse; readonly close: () => void}> {
 	const server = createServer();
 	server.listen(0, '127.0.0.1');
@@ -38,7 +38,7 @@
 	const address = server.address();
 	const call = httpRequest({host: '127.0.0.1', port: typeof address === 'object' && address !== null ? address.port : 0, agent: false});
 	call.once('error', () => {
-		// The cut is what the test is about
+		// The tested code may destroy the connection
 	});
 	call.end();
 	const [, response] = await once(server, 'request') as [unknown, ServerResponse]; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the event's own arguments
@@ -55,7 +55,7 @@
 	};
 }
 
-describe('writing an answer', () => {
+describe('AnswerWriter', () => {
 	for (const {name, isReading, drainsAfterMs, isGone} of cases) {
 		it(name, async () => {
 			const clock = new ManualClock();
@@ -65,7 +65,7 @@
 				isUnread = true;
 			});
 			new AnswerWriter(response, {
-				request: 'r', model: 'm', dialect: 'completion', isStream: true, run: '', from: 0,
+				request: 'r', model: 'm', dialect: 'completion', isStream: true, runId: '', firstToken: 0,
 			}, answer, clock, stallMs).start();
 			answer.append(0, 'word');
 			if (drainsAfterMs !== undefined) {
--- a/packages/host/src/front/answer-writer.ts
+++ b/packages/host/src/front/answer-writer.ts
@@ -1,98 +1,98 @@
 /**
- * Writes one growing answer to one caller's connection, as events or as one
- * JSON body. A caller that closes, resets or stops reading counts as gone.
- * Safety: "no memory held for a caller who is gone" begins with noticing that it is gone.
+ * Writes an answer to one caller's connection, as server-sent events or as one
+ * JSON body. A caller that closes, resets or stops reading is treated as disconnected.
+ * Safety: releasing the memory of disconnected callers depends on this detection.
  */
 import {type ServerResponse} from 'node:http';
 import {type Clock, type Timer} from '@gatehead/policy/utils/clock';
 import {type TokenStream, type StreamEnd, type StreamReader} from '../core/token-stream.js';
 import {
-	errorBodyOf, openEvents, sendFailure, sendJson, writeEvent,
+	toErrorBody, startEventStream, sendFailure, sendJson, writeEvent,
 } from './reply.js';
 
-/** The convention that the caller speaks. */
+/** API format of a request. */
 export type Dialect = 'completion' | 'chat';
 
-/** How to write an answer. */
-export type Writing = {
+/** Options of `AnswerWriter`. */
+export type AnswerWriterOptions = {
 	readonly request: string;
 	readonly model: string;
 	readonly dialect: Dialect;
 	readonly isStream: boolean;
-	/** What event ids carry besides engine, attempt and number: which run under the key this is. */
-	readonly run: string;
-	/** Number of the first token that the caller lacks. */
-	readonly from: number;
+	/** Run of the keyed request, appended to event ids; empty without a key. */
+	readonly runId: string;
+	/** Number of the first token to write. */
+	readonly firstToken: number;
 };
 
-const objects: Record<Dialect, {readonly whole: string; readonly chunk: string}> = {
+const objectTypes: Record<Dialect, {readonly whole: string; readonly chunk: string}> = {
 	completion: {whole: 'text_completion', chunk: 'text_completion'},
 	chat: {whole: 'chat.completion', chunk: 'chat.completion.chunk'},
 };
 
-const choices: Record<Dialect, (text: string, reason: string | undefined, isChunk: boolean) => unknown> = {
+const choiceFormatters: Record<Dialect, (text: string, reason: string | undefined, isChunk: boolean) => unknown> = {
 	completion: (text, reason) => ({index: 0, text, finish_reason: reason ?? null}),
 	chat: (text, reason, isChunk) => ({index: 0, [isChunk ? 'delta' : 'message']: {role: 'assistant', content: text}, finish_reason: reason ?? null}),
 };
 
-/** Writes an answer as it grows. */
+/** Streams an answer to an HTTP response; `stallMs` is the longest time in milliseconds for which the socket may stay full. */
 export class AnswerWriter implements StreamReader {
 	readonly #response: ServerResponse;
-	readonly #writing: Writing;
+	readonly #options: AnswerWriterOptions;
 	readonly #answer: TokenStream;
 	readonly #clock: Clock;
 	readonly #stallMs: number;
-	#stall: Timer | undefined;
+	#stallTimer: Timer | undefined;
 
-	constructor(response: ServerResponse, writing: Writing, answer: TokenStream, clock: Clock, stallMs: number) {
+	constructor(response: ServerResponse, options: AnswerWriterOptions, answer: TokenStream, clock: Clock, stallMs: number) {
 		this.#response = response;
-		this.#writing = writing;
+		this.#options = options;
 		this.#answer = answer;
 		this.#clock = clock;
 		this.#stallMs = stallMs;
 	}
 
-	/** Starts to write; the reader leaves the answer when the connection closes. */
+	/** Attaches to the answer until the connection closes. */
 	start(): void {
 		this.#response.once('close', () => {
-			this.#stall?.stop();
+			this.#stallTimer?.stop();
 			this.#answer.detach(this);
 		});
 		this.#response.on('drain', () => {
-			this.#stall?.stop();
-			this.#stall = undefined;
+			this.#stallTimer?.stop();
+			this.#stallTimer = undefined;
 		});
-		this.#answer.attach(this, this.#writing.from);
+		this.#answer.attach(this, this.#options.firstToken);
 	}
 
 	onToken(n: number, text: string, position: string): void {
-		if (!this.#writing.isStream || this.#response.destroyed) {
+		if (!this.#options.isStream || this.#response.destroyed) {
 			return;
 		}
 
 		if (!this.#response.headersSent) {
-			openEvents(this.#response);
+			startEventStream(this.#response);
 		}
 
-		if (!writeEvent(this.#response, JSON.stringify(this.#body(text, undefined, true)), `${position}/${n}${this.#writing.run === '' ? '' : `/${this.#writing.run}`}`)) {
-			this.#startStall();
+		if (!writeEvent(this.#response, JSON.stringify(this.#body(text, undefined, true)), `${position}/${n}${this.#options.runId === '' ? '' : `/${this.#options.runId}`}`)) {
+			this.#startStallTimer();
 		}
 	}
 
 	onEnd(end: StreamEnd): void {
-		this.#stall?.stop();
+		this.#stallTimer?.stop();
 		if (end.kind === 'failed') {
 			this.#fail(end);
 			return;
 		}
 
-		if (!this.#writing.isStream) {
+		if (!this.#options.isStream) {
 			sendJson(this.#response, 200, this.#body(this.#answer.tokens.join(''), end.reason, false));
 			return;
 		}
 
 		if (!this.#response.headersSent) {
-			openEvents(this.#response);
+			startEventStream(this.#response);
 		}
 
 		writeEvent(this.#response, JSON.stringify(this.#body('', end.reason, true)));
@@ -101,11 +101,11 @@
 	}
 
 	#body(text: string, reason: string | undefined, isChunk: boolean): unknown {
-		const {request, model, dialect} = this.#writing;
-		const object = objects[dialect][isChunk ? 'chunk' : 'whole'];
+		const {request, model, dialect} = this.#options;
+		const object = objectTypes[dialect][isChunk ? 'chunk' : 'whole'];
 		const usage = isChunk ? {} : {usage: {completion_tokens: this.#answer.tokens.length}};
 		return {
-			id: request, object, model, choices: [choices[dialect](text, reason, isChunk)], ...usage,
+			id: request, object, model, choices: [choiceFormatters[dialect](text, reason, isChunk)], ...usage,
 		};
 	}
 
@@ -115,12 +115,12 @@
 			return;
 		}
 
-		writeEvent(this.#response, JSON.stringify(errorBodyOf(failure)), undefined, 'error');
+		writeEvent(this.#response, JSON.stringify(toErrorBody(failure)), undefined, 'error');
 		this.#response.end();
 	}
 
-	#startStall(): void {
-		this.#stall ??= this.#clock.after(this.#stallMs, () => {
+	#startStallTimer(): void {
+		this.#stallTimer ??= this.#clock.after(this.#stallMs, () => {
 			this.#response.destroy();
 		});
 	}
--- a/packages/host/src/front/caller-connections.ts
+++ b/packages/host/src/front/caller-connections.ts
@@ -1,13 +1,13 @@
 /**
- * The connections of a server towards callers: what makes no request is
- * refused, and all are cut at the end. Safety: of what is refused here nothing
- * was passed on, so nothing ran.
+ * Tracks the connections of an HTTP server, rejects malformed requests and
+ * closes all connections on shutdown. Safety: a malformed request is rejected
+ * before anything is sent to an endpoint.
  */
 import {type Server} from 'node:http';
 import {type Socket} from 'node:net';
-import {refuseRaw} from './raw-refusal.js';
+import {rejectMalformedRequest} from './malformed-request.js';
 
-/** The connections of one server. */
+/** Open connections of one server. */
 export class CallerConnections {
 	readonly #server: Server;
 	readonly #sockets = new Set<Socket>();
@@ -15,7 +15,7 @@
 	constructor(server: Server) {
 		this.#server = server;
 		server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
-			refuseRaw(error, socket);
+			rejectMalformedRequest(error, socket);
 		});
 		server.on('connection', socket => {
 			this.#sockets.add(socket);
@@ -25,7 +25,7 @@
 		});
 	}
 
-	/** Stops listening and cuts what is still connected. */
+	/** Stops listening and destroys all open connections. */
 	async close(): Promise<void> {
 		const closed = new Promise<void>(resolve => {
 			this.#server.close(() => {
--- a/packages/host/src/front/caller-front.ts
+++ b/packages/host/src/front/caller-front.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP server towards callers: limits, authentication, the table of routes, and numbered errors for all that goes wrong.
- * Safety: a refusal given before the guard was asked never says "not run" of a keyed request.
+ * HTTP server for callers: limits, authentication, routing and error responses.
+ * Safety: an error raised before the ledger was checked never reports `ran: no` for a request with a key.
  */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -11,20 +11,20 @@
 import {fail, Failure, toFailure} from '@gatehead/schema/failure';
 import {listenAt} from '../utils/listen.js';
 import {CallerConnections} from './caller-connections.js';
-import {answerCompletion} from './completions.js';
-import {identify, indexCallers} from './intake.js';
-import {answerLookup} from './lookups.js';
+import {handleCompletion} from './completions.js';
+import {authenticate, indexCallers} from './request-reader.js';
+import {handleLookup} from './lookups.js';
 import {type Call, type FrontParts} from './parts.js';
 import {sendFailure} from './reply.js';
 import {type CallParts} from './service-call.js';
-import {answerService} from './services.js';
+import {handleServiceCall} from './services.js';
 
 const base36 = 36;
-const mostHeaderBytes = 16_384;
+const maxHeaderBytes = 16_384;
 
 type Handler = (call: Call) => Promise<void> | void;
 
-/** Serves callers. */
+/** HTTP server for callers. */
 export class CallerFront {
 	readonly #parts: FrontParts;
 	readonly #calls: CallParts;
@@ -32,19 +32,19 @@
 	readonly #connections: CallerConnections;
 	readonly #routes: Readonly<Record<string, Handler>>;
 	#callers: ReadonlyMap<string, Caller> = new Map();
-	#made = 0;
-	#open = 0;
+	#requestIdCount = 0;
+	#openRequests = 0;
 	#isStopping = false;
 
 	constructor(parts: FrontParts, calls: CallParts) {
 		this.#parts = parts;
 		this.#calls = calls;
-		this.#routes = this.#makeRoutes();
+		this.#routes = this.#createRoutes();
 		const {limits: {connections, headerMs}} = parts.context.settings;
 		this.#server = createServer({
-			maxHeaderSize: mostHeaderBytes, headersTimeout: headerMs, requestTimeout: headerMs, connectionsCheckingInterval: Math.min(headerMs, 1000),
+			maxHeaderSize: maxHeaderBytes, headersTimeout: headerMs, requestTimeout: headerMs, connectionsCheckingInterval: Math.min(headerMs, 1000),
 		}, (request, response) => {
-			void this.#answer(request, response);
+			void this.#respond(request, response);
 		});
 		this.#server.maxConnections = connections;
 		this.#connections = new CallerConnections(this.#server);
@@ -53,78 +53,78 @@
 		});
 	}
 
-	/** Requests in work. */
+	/** Number of requests in progress. */
 	get open(): number {
-		return this.#open;
+		return this.#openRequests;
 	}
 
-	/** Starts to listen; resolves with the bound address. */
+	/** Starts listening; resolves with the bound address. */
 	async listen(): Promise<string> {
 		return listenAt(this.#server, this.#parts.context.settings.listen.caller);
 	}
 
-	/** Whether new requests are told to go to another host. */
+	/** Whether new requests are rejected with `hostStopping`. */
 	get isStopping(): boolean {
 		return this.#isStopping;
 	}
 
-	/** From now on new requests are told to go to another host. */
+	/** Rejects new requests with `hostStopping` from now on. */
 	refuseNew(): void {
 		this.#isStopping = true;
 	}
 
-	/** Stops listening and cuts what is still connected. */
+	/** Stops listening and destroys all open connections. */
 	async close(): Promise<void> {
 		await this.#connections.close();
 	}
 
-	#makeRoutes(): Readonly<Record<string, Handler>> {
+	#createRoutes(): Readonly<Record<string, Handler>> {
 		const parts = this.#parts;
-		const makeId = () => this.#makeId();
+		const createRequestId = () => this.#createRequestId();
 		return {
 			[`GET ${callerPaths.hosts}`](call) {
-				answerLookup(parts, call);
+				handleLookup(parts, call);
 			},
 			async [`POST ${callerPaths.completions}`](call) {
-				await answerCompletion(parts, call, 'completion', makeId);
+				await handleCompletion(parts, call, 'completion', createRequestId);
 			},
 			async [`POST ${callerPaths.chat}`](call) {
-				await answerCompletion(parts, call, 'chat', makeId);
+				await handleCompletion(parts, call, 'chat', createRequestId);
 			},
 		};
 	}
 
-	/** Names a request that came without a key. */
-	#makeId(): string {
+	/** Returns an id that is unique across hosts and incarnations. */
+	#createRequestId(): string {
 		const {host, incarnation} = this.#parts.context.self;
-		this.#made += 1;
-		return `${host}.${incarnation.toString(base36)}.${this.#made.toString(base36)}`;
+		this.#requestIdCount += 1;
+		return `${host}.${incarnation.toString(base36)}.${this.#requestIdCount.toString(base36)}`;
 	}
 
 	#findHandler(method: string, path: string): Handler {
 		if (path.startsWith(callerPaths.services)) {
-			return async call => answerService(this.#parts, this.#calls, call, () => this.#makeId());
+			return async call => handleServiceCall(this.#parts, this.#calls, call, () => this.#createRequestId());
 		}
 
 		return this.#routes[`${method} ${path}`] ?? fail('routeUnknown');
 	}
 
-	async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		this.#open += 1;
+	async #respond(request: IncomingMessage, response: ServerResponse): Promise<void> {
+		this.#openRequests += 1;
 		response.once('close', () => {
-			this.#open -= 1;
+			this.#openRequests -= 1;
 		});
 		try {
 			await this.#handle(request, response);
 		} catch (error) {
-			const failure = beTrue(toFailure(error), request);
+			const failure = withUnknownRan(toFailure(error), request);
 			this.#parts.context.counters.count('refused', failure.code);
 			if (failure.code === 'internal') {
 				this.#parts.context.log('internal', {detail: failure.message});
 			}
 
 			sendFailure(response, failure);
-			// A body that was not read to its end would block the connection
+			// An unread request body would block the next request on this connection
 			if (!request.complete) {
 				response.once('finish', () => {
 					request.destroy();
@@ -141,7 +141,7 @@
 			fail('hostStopping', {retryAfterMs: 0});
 		}
 
-		if (this.#open > settings.limits.requests) {
+		if (this.#openRequests > settings.limits.requests) {
 			fail('tooManyConnections', {retryAfterMs: 1000});
 		}
 
@@ -150,23 +150,23 @@
 			fail('notReady', {retryAfterMs: 1000});
 		}
 
-		const caller = identify(request, this.#callers);
+		const caller = authenticate(request, this.#callers);
 		await handler({
 			request, response, url, caller, inForce, arrivedAt: clock.now(),
 		});
 	}
 }
 
-/** Refusals that say nothing about an earlier try under the same key. */
-const blind: ReadonlySet<Code> = new Set(['notReady', 'tooManyConnections', 'serviceUnknown', 'callerUnknown']);
+/** Errors that can be raised before the ledger is checked for an earlier attempt under the same key. */
+const codesBeforeKeyLookup: ReadonlySet<Code> = new Set(['notReady', 'tooManyConnections', 'serviceUnknown', 'callerUnknown']);
 
 function hasKey({headers}: IncomingMessage): boolean {
 	return headers[callerHeaders.key] !== undefined;
 }
 
-/** A refusal that was given before the guard was asked cannot say "not run" of a request with a key: an earlier try may have run. */
-function beTrue(failure: Failure, request: IncomingMessage): Failure {
-	if (!blind.has(failure.code) || !hasKey(request)) {
+/** Sets `ran` to `unknown` on an error raised before the ledger was checked, if the request has a key: an earlier attempt may have run. */
+function withUnknownRan(failure: Failure, request: IncomingMessage): Failure {
+	if (!codesBeforeKeyLookup.has(failure.code) || !hasKey(request)) {
 		return failure;
 	}
 
--- a/packages/host/src/front/completions.ts
+++ b/packages/host/src/front/completions.ts
@@ -1,6 +1,6 @@
 /**
- * `POST /v1/completions` and `/v1/chat/completions`. Safety: one answer for
- * each key at its guard; a second call under the key reads the same answer.
+ * `POST /v1/completions` and `/v1/chat/completions`. Safety: the host that owns
+ * a key runs it once; repeated calls under the key read the same answer.
  */
 import {Buffer} from 'node:buffer';
 import {ignore} from '@gatehead/policy/utils/ignore';
@@ -16,21 +16,21 @@
 import {dispatch} from '../core/dispatch.js';
 import {readIdempotencyKey, type IdempotencyKey} from '../core/ticket.js';
 import {type ModelRequest} from '../core/model-request.js';
-import {takeOver} from './take-over.js';
+import {resumeStream} from './stream-resumption.js';
 import {AnswerWriter, type Dialect} from './answer-writer.js';
-import {enterLedger, findCustody} from './custody.js';
-import {forward, isForwarded} from './forward.js';
+import {enterLedger, findRequestOwner} from './request-owner.js';
+import {forwardRequest, isForwarded} from './forward.js';
 import {
-	headerOf, parseBody, readBody, readPosition,
-} from './intake.js';
+	readHeader, parseBody, readBody, readStreamPosition,
+} from './request-reader.js';
 import {type Call, type FrontParts, type Job} from './parts.js';
 
-type Wish = {
+type ParsedRequest = {
 	readonly body: CompletionBody | ChatBody;
 	readonly prompt: string;
 };
 
-const readers: Record<Dialect, (data: unknown) => Wish> = {
+const bodyParsers: Record<Dialect, (data: unknown) => ParsedRequest> = {
 	completion(data) {
 		const body = check(completionBody, data, 'bodyInvalid', true);
 		return {body, prompt: body.prompt};
@@ -41,7 +41,7 @@
 	},
 };
 
-function makeWork({inForce: {bundle}, caller, arrivedAt}: Call, {body, prompt}: Wish, id: string): ModelRequest {
+function createWork({inForce: {bundle}, caller, arrivedAt}: Call, {body, prompt}: ParsedRequest, id: string): ModelRequest {
 	const model = bundle.models.find(each => each.name === body.model) ?? fail('modelUnknown');
 	if (body.adapter !== undefined && !model.adapters.some(each => each.name === body.adapter)) {
 		fail('adapterUnknown');
@@ -57,8 +57,8 @@
 	};
 }
 
-/** Starts a request; it is cancelled when its last reader leaves. */
-function begin(parts: FrontParts, work: ModelRequest, mostAttempts: number, ended: () => void): TokenStream {
+/** Starts a request; it is cancelled when its last reader disconnects. */
+function startRequest(parts: FrontParts, work: ModelRequest, maxAttempts: number, onEnded: () => void): TokenStream {
 	const abort = new AbortController();
 	const {context} = parts;
 	const answer = new TokenStream(() => {
@@ -68,25 +68,25 @@
 	context.counters.count('accepted', work.caller.name);
 	context.timeline.record({kind: 'requestArrived', request: work.id, caller: work.caller.name});
 	const run = async () => {
-		await dispatch(parts.attempts, work, answer, abort.signal, mostAttempts);
-		ended();
+		await dispatch(parts.attempts, work, answer, abort.signal, maxAttempts);
+		onEnded();
 	};
 
-	// The reader must be attached before the first step, so the work starts after this turn
+	// Deferred so that the caller can attach its reader first
 	queueMicrotask(() => {
 		void run();
 	});
 	return answer;
 }
 
-function guard(parts: FrontParts, work: ModelRequest, body: Uint8Array, {id, ticket}: IdempotencyKey, mostAttempts: number): TokenStream {
+function startKeyedRequest(parts: FrontParts, work: ModelRequest, body: Uint8Array, {id, ticket}: IdempotencyKey, maxAttempts: number): TokenStream {
 	const {entry: {job}} = enterLedger(parts, {
 		id,
 		bodyDigest: digestOf(Buffer.from(body).toString('base64')),
 		lapsesAt: parts.context.toMonotonicTime(ticket.expires),
 		createJob(): Job {
-			const answer = begin(parts, work, mostAttempts, () => {
-				closeEntry(parts, id, answer);
+			const answer = startRequest(parts, work, maxAttempts, () => {
+				completeEntry(parts, id, answer);
 			});
 			return {kind: 'completion', answer};
 		},
@@ -94,8 +94,8 @@
 	return job.kind === 'completion' ? job.answer : fail('keyReused');
 }
 
-/** A model request may be repeated: one that failed leaves the ledger, a whole answer stays to be read again. */
-function closeEntry({ledger}: FrontParts, id: string, {end}: TokenStream): void {
+/** Removes a failed request from the ledger, as a model request may be retried; keeps a complete answer for repeated calls. */
+function completeEntry({ledger}: FrontParts, id: string, {end}: TokenStream): void {
 	if (end?.kind === 'failed') {
 		ledger.withdraw(id);
 		return;
@@ -104,32 +104,32 @@
 	ledger.end(id);
 }
 
-/** Answers a model request. */
-export async function answerCompletion(parts: FrontParts, call: Call, dialect: Dialect, makeId: () => string): Promise<void> {
+/** Handles a completion request; errors are thrown as `Failure`. */
+export async function handleCompletion(parts: FrontParts, call: Call, dialect: Dialect, createRequestId: () => string): Promise<void> {
 	const {request, response, caller, inForce: {bundle}} = call;
 	const {settings, clock} = parts.context;
-	const raw = await readBody(request, settings.limits);
-	const wish = readers[dialect](parseBody(raw));
+	const rawBody = await readBody(request, settings.limits);
+	const parsed = bodyParsers[dialect](parseBody(rawBody));
 	const key = readOptionalKey(call, caller, settings.keys.tickets);
-	const position = readPosition(request);
-	const custody = key === undefined ? undefined : findCustody(parts, key);
-	if (custody?.kind === 'elsewhere' && !isForwarded(request)) {
-		forward(parts, call, raw, custody.member);
+	const position = readStreamPosition(request);
+	const owner = key === undefined ? undefined : findRequestOwner(parts, key);
+	if (owner?.kind === 'remote' && !isForwarded(request)) {
+		forwardRequest(parts, call, rawBody, owner.member);
 		return;
 	}
 
-	const isHere = key !== undefined && custody?.kind === 'here';
-	const run = makeId();
-	const work = makeWork(call, wish, key === undefined ? run : `${key.id}.${run}`);
-	const mostAttempts = bundle.rules.attempts;
-	const answer = answerOf();
+	const isOwner = key !== undefined && owner?.kind === 'local';
+	const runId = createRequestId();
+	const work = createWork(call, parsed, key === undefined ? runId : `${key.id}.${runId}`);
+	const maxAttempts = bundle.rules.attempts;
+	const answer = findOrStartAnswer();
 	new AnswerWriter(response, {
-		request: work.id, model: work.model.name, dialect, isStream: wish.body.stream, run: key === undefined ? '' : run, from: position === undefined ? 0 : position.last + 1,
+		request: work.id, model: work.model.name, dialect, isStream: parsed.body.stream, runId: key === undefined ? '' : runId, firstToken: position === undefined ? 0 : position.lastToken + 1,
 	}, answer, clock, settings.timing.readerStallMs).start();
 
-	function answerOf(): TokenStream {
-		if (isHere) {
-			return guard(parts, work, raw, key, mostAttempts);
+	function findOrStartAnswer(): TokenStream {
+		if (isOwner) {
+			return startKeyedRequest(parts, work, rawBody, key, maxAttempts);
 		}
 
 		if (parts.isStopping()) {
@@ -137,14 +137,14 @@
 		}
 
 		if (position === undefined) {
-			return begin(parts, work, mostAttempts, ignore);
+			return startRequest(parts, work, maxAttempts, ignore);
 		}
 
-		return key === undefined ? fail('streamGone') : takeOver(parts, work, key, position);
+		return key === undefined ? fail('streamGone') : resumeStream(parts, work, key, position);
 	}
 }
 
 function readOptionalKey({request}: Call, caller: Caller, keys: readonly string[]): IdempotencyKey | undefined {
-	const header = headerOf(request, callerHeaders.key);
+	const header = readHeader(request, callerHeaders.key);
 	return header === undefined ? undefined : readIdempotencyKey(header, caller.name, keys);
 }
--- a/packages/host/src/front/forward.ts
+++ b/packages/host/src/front/forward.ts
@@ -1,7 +1,7 @@
 /**
- * Passes a keyed call on to the host that guards it, and its answer back.
- * Safety: this host runs nothing of it; if the way breaks, the caller is
- * told "unknown".
+ * Proxies a keyed request to the host that owns it. Safety: this host runs
+ * nothing itself; if the connection to the owner fails, the error reports
+ * `ran: unknown`.
  */
 import {request as httpRequest, type IncomingMessage} from 'node:http';
 import {pipeline} from 'node:stream';
@@ -13,11 +13,11 @@
 import {type Call, type FrontParts} from './parts.js';
 import {sendFailure} from './reply.js';
 
-const passedHeaders = ['authorization', 'content-type', callerHeaders.key, callerHeaders.lastEvent] as const;
+const forwardedHeaders = ['authorization', 'content-type', callerHeaders.key, callerHeaders.lastEvent] as const;
 
-function headersOf({headers}: IncomingMessage, length: number): Record<string, string> {
+function selectHeaders({headers}: IncomingMessage, length: number): Record<string, string> {
 	const passed: Record<string, string> = {[callerHeaders.forwarded]: '1', 'content-length': String(length)};
-	for (const name of passedHeaders) {
+	for (const name of forwardedHeaders) {
 		const value = headers[name];
 		if (typeof value === 'string') {
 			passed[name] = value;
@@ -27,27 +27,27 @@
 	return passed;
 }
 
-/** Whether another host already passed this call on; it goes no further then. */
+/** Whether another host already forwarded this request; it is forwarded only once. */
 export function isForwarded({headers}: IncomingMessage): boolean {
 	return headers[callerHeaders.forwarded] !== undefined;
 }
 
-/** Passes a call on; the answer goes straight to the caller. */
-export function forward({context}: FrontParts, {request, response, url}: Call, body: Uint8Array, member: MemberRecord): void {
+/** Proxies a request to its owner and streams the response back. */
+export function forwardRequest({context}: FrontParts, {request, response, url}: Call, body: Uint8Array, member: MemberRecord): void {
 	context.counters.count('forwarded');
 	context.timeline.record({kind: 'requestForwarded', peer: member.host});
 	const {ip, port} = splitAddress(member.callerAddress);
-	const onward = httpRequest({
-		host: ip, port, method: request.method, path: url.pathname + url.search, headers: headersOf(request, body.length), agent: false,
-	}, answer => {
-		response.writeHead(answer.statusCode ?? 502, answer.headers);
-		pipeline(answer, response, ignore);
+	const proxyRequest = httpRequest({
+		host: ip, port, method: request.method, path: url.pathname + url.search, headers: selectHeaders(request, body.length), agent: false,
+	}, proxyResponse => {
+		response.writeHead(proxyResponse.statusCode ?? 502, proxyResponse.headers);
+		pipeline(proxyResponse, response, ignore);
 	});
-	onward.once('error', error => {
+	proxyRequest.once('error', error => {
 		sendFailure(response, new Failure('ownerUnreachable', {cause: error}));
 	});
 	response.once('close', () => {
-		onward.destroy();
+		proxyRequest.destroy();
 	});
-	onward.end(body);
+	proxyRequest.end(body);
 }
--- a/packages/host/src/front/lookups.ts
+++ b/packages/host/src/front/lookups.ts
@@ -1,6 +1,6 @@
 /**
- * `GET /v1/hosts`: which hosts a caller should use, for how long, with a ticket of each.
- * Safety: a ticket names an incarnation that its host itself announced. Which hosts are named is efficiency only.
+ * `GET /v1/hosts`: the hosts that a caller should use, with a time to live and a ticket for each.
+ * Safety: a ticket names an incarnation that its host itself announced. The choice of hosts affects efficiency only.
  */
 import {type HostsAnswer} from '@gatehead/schema/caller-protocol';
 import {timeToLive} from '@gatehead/policy/core/lookup';
@@ -8,14 +8,14 @@
 import {type Call, type FrontParts} from './parts.js';
 import {sendJson} from './reply.js';
 
-/** A ticket outlives the address it came with, so that late retries still find their guard. */
-const ticketLives = 10;
+/** Lifetime of a ticket as a multiple of the lookup's, so that late retries still reach their owner. */
+const ticketTtlFactor = 10;
 
-/** Answers a lookup. */
-export function answerLookup({context, fleet}: FrontParts, {request, response, url, caller, inForce: {bundle: {rules}}}: Call): void {
+/** Handles a host lookup. */
+export function handleLookup({context, fleet}: FrontParts, {request, response, url, caller, inForce: {bundle: {rules}}}: Call): void {
 	const {settings: {keys}, random, wall, counters} = context;
 	const ttlMs = timeToLive(rules.lookupTtlMs, random);
-	const expires = Math.floor(wall()) + (rules.lookupTtlMs * ticketLives);
+	const expires = Math.floor(wall()) + (rules.lookupTtlMs * ticketTtlFactor);
 	const lookup = {
 		caller: caller.name, client: request.socket.remoteAddress ?? '', hall: url.searchParams.get('hall') ?? undefined, keepers: fleet.keepersOf(url.searchParams.get('model') ?? undefined),
 	};
--- a/packages/host/src/front/parts.ts
+++ b/packages/host/src/front/parts.ts
@@ -1,7 +1,4 @@
-/**
- * What the caller front's handlers share, passed down in one object.
- * Neither safety nor efficiency rests on it.
- */
+/** Types shared by the request handlers of the caller server. */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type HostRings} from '@gatehead/policy/core/lookup';
 import {type Ledger} from '@gatehead/policy/core/ledger';
@@ -13,41 +10,41 @@
 import {type Context} from '../core/context.js';
 import {type CallOutcome} from './service-call.js';
 
-/** The hosts as this one knows them. */
+/** This host's view of the fleet. */
 export type Fleet = {
-	/** All known hosts, this one among them. */
+	/** All known hosts, including this one. */
 	list(): readonly MemberRecord[];
-	/** The same, laid out for lookups. */
+	/** Hash rings of all known hosts, for lookups. */
 	rings(): HostRings;
-	/** Hosts that keep cells of a model; empty for a model that is not known. */
+	/** Hosts that keep cells of a model; empty for an undefined or unknown model. */
 	keepersOf(model: string | undefined): ReadonlySet<string>;
 };
 
-/** What the ledger guards: a growing answer, a plain call, or one whose answer was let go. */
+/** Work under a ledger key: a model request or a service call. */
 export type Job
 	= | {readonly kind: 'completion'; readonly answer: TokenStream}
 		| {readonly kind: 'call'; readonly outcome: Promise<CallOutcome>};
 
-/** Shared by all handlers. */
+/** Dependencies of the request handlers. */
 export type FrontParts = {
 	readonly context: Context;
 	readonly bundles: BundleStore;
 	readonly fleet: Fleet;
 	readonly ledger: Ledger<Job>;
 	readonly attempts: AttemptOptions;
-	/** Whether a planned stop has come so far that nothing new is begun; what is known stays answerable. */
+	/** Whether a planned stop has reached the point where new requests are rejected; keys already in the ledger are still served. */
 	readonly isStopping: () => boolean;
-	/** Whether this process knows enough to serve. */
+	/** Whether this process is ready to serve requests. */
 	readonly isReady: () => boolean;
 };
 
-/** One call as a handler gets it. */
+/** An authenticated request, as passed to a handler. */
 export type Call = {
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
 	readonly url: URL;
 	readonly caller: Caller;
 	readonly inForce: AdoptedBundle;
-	/** Own clock's instant of arrival. */
+	/** Time of arrival on this host's clock, in milliseconds. */
 	readonly arrivedAt: number;
 };
--- a/packages/host/src/front/reply.ts
+++ b/packages/host/src/front/reply.ts
@@ -1,6 +1,6 @@
 /**
- * Answers towards callers: JSON, errors with numbered code and `ran`, server-sent events.
- * Safety: `ran` is passed on as the failure says it.
+ * Responses to callers: JSON, errors and server-sent events.
+ * Safety: an error's `ran` is copied from the failure unchanged.
  */
 import {type ServerResponse} from 'node:http';
 import {codes} from '@gatehead/schema/codes';
@@ -9,8 +9,8 @@
 
 const millisecondsPerSecond = 1000;
 
-/** The error body of a failure. */
-export function errorBodyOf({code, ran, detail, retryAfterMs}: Failure): ErrorBody {
+/** Converts a failure to the body of an error response. */
+export function toErrorBody({code, ran, detail, retryAfterMs}: Failure): ErrorBody {
 	const {number, advice} = codes[code];
 	return {
 		error: {
@@ -19,7 +19,7 @@
 	};
 }
 
-/** Sends a JSON answer unless the caller is gone. */
+/** Sends a JSON response, unless headers were already sent or the connection is closed. */
 export function sendJson(response: ServerResponse, status: number, value: unknown): void {
 	if (response.headersSent || response.destroyed) {
 		return;
@@ -29,21 +29,21 @@
 	response.end(JSON.stringify(value));
 }
 
-/** Sends a failure with its status, code and the time to come back. */
+/** Sends an error response, with a `retry-after` header in seconds if the failure has a delay. */
 export function sendFailure(response: ServerResponse, failure: Failure): void {
 	if (failure.retryAfterMs !== undefined && !response.headersSent) {
 		response.setHeader('retry-after', String(Math.ceil(failure.retryAfterMs / millisecondsPerSecond)));
 	}
 
-	sendJson(response, failure.status, errorBodyOf(failure));
+	sendJson(response, failure.status, toErrorBody(failure));
 }
 
-/** Opens a stream of server-sent events. */
-export function openEvents(response: ServerResponse): void {
+/** Sends the headers of an event stream. */
+export function startEventStream(response: ServerResponse): void {
 	response.writeHead(200, {'content-type': 'text/event-stream', 'cache-control': 'no-store'});
 }
 
-/** Writes one event; returns false when the reader is behind. */
+/** Writes one event; returns false if the socket's write buffer is full. */
 export function writeEvent(response: ServerResponse, data: string, id?: string, name?: string): boolean {
 	const idLine = id === undefined ? '' : `id: ${id}\n`;
 	const nameLine = name === undefined ? '' : `event: ${name}\n`;
--- a/packages/host/src/front/custody.ts
+++ b/packages/host/src/front/request-owner.ts
@@ -1,8 +1,7 @@
 /**
- * Which incarnation guards a keyed request. Safety: only the incarnation
- * that the ticket names ever runs it; everyone else forwards or says
- * "unknown". Whether that incarnation is thought to be alive changes only
- * where the call is sent.
+ * Finds the host incarnation that owns a keyed request. Safety: only the
+ * incarnation named by the ticket runs the request; other hosts forward it or
+ * fail with `ran: unknown`. The owner's membership state affects routing only.
  */
 import {fail} from '@gatehead/schema/failure';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
@@ -10,17 +9,17 @@
 import {type IdempotencyKey} from '../core/ticket.js';
 import {type FrontParts, type Job} from './parts.js';
 
-/** Where a keyed request belongs. */
-export type Custody
-	= | {readonly kind: 'here'}
-		| {readonly kind: 'elsewhere'; readonly member: MemberRecord}
-		| {readonly kind: 'gone'}
+/** Owner of a keyed request, relative to this host; `replaced`: the owner has restarted. */
+export type RequestOwner
+	= | {readonly kind: 'local'}
+		| {readonly kind: 'remote'; readonly member: MemberRecord}
+		| {readonly kind: 'replaced'}
 		| {readonly kind: 'unreachable'};
 
-/** Finds out where a keyed request belongs. */
-export function findCustody({context: {self}, fleet}: FrontParts, {ticket}: IdempotencyKey): Custody {
+/** Finds the owner of a keyed request. */
+export function findRequestOwner({context: {self}, fleet}: FrontParts, {ticket}: IdempotencyKey): RequestOwner {
 	if (ticket.host === self.host) {
-		return ticket.incarnation === self.incarnation ? {kind: 'here'} : {kind: 'gone'};
+		return ticket.incarnation === self.incarnation ? {kind: 'local'} : {kind: 'replaced'};
 	}
 
 	const member = fleet.list().find(each => each.host === ticket.host);
@@ -29,18 +28,18 @@
 	}
 
 	if (member.incarnation > ticket.incarnation) {
-		return {kind: 'gone'};
+		return {kind: 'replaced'};
 	}
 
-	return member.state === 'dead' ? {kind: 'unreachable'} : {kind: 'elsewhere', member};
+	return member.state === 'dead' ? {kind: 'unreachable'} : {kind: 'remote', member};
 }
 
-/** Raises the truth about a request whose guard cannot be asked. */
-export function failCustody(custody: Extract<Custody, {kind: 'gone' | 'unreachable'}>): never {
-	return fail(custody.kind === 'gone' ? 'ownerReplaced' : 'ownerUnreachable');
+/** Throws `ownerReplaced` or `ownerUnreachable`. */
+export function failUnavailableOwner(owner: Extract<RequestOwner, {kind: 'replaced' | 'unreachable'}>): never {
+	return fail(owner.kind === 'replaced' ? 'ownerReplaced' : 'ownerUnreachable');
 }
 
-/** Enters a keyed request into the ledger: a first call begins, a repeated one finds the first. Raises the truth about any other. */
+/** Enters a keyed request into the ledger: starts a first call, returns the existing entry for a repeated one. Throws if the ticket has expired, the ledger is full or the body differs, and on a stopping host if the key is new. */
 export function enterLedger({ledger, context, isStopping}: FrontParts, call: LedgerCall<Job>): {readonly entry: LedgerEntry<Job>; readonly isRepeat: boolean} {
 	if (isStopping() && !ledger.has(call.id)) {
 		fail('hostStopping', {retryAfterMs: 0});
--- a/packages/host/src/front/intake.ts
+++ b/packages/host/src/front/request-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Takes in a call: who it is from, its body within the limits, its request key. Raises numbered errors; nothing has left by then.
- * Safety: who a caller is comes from its token alone.
+ * Authenticates a request and reads its body and headers. Errors are thrown as `Failure`, before anything is sent to an endpoint.
+ * Safety: a caller is identified by its bearer token alone.
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
@@ -12,8 +12,8 @@
 
 const bearerPattern = /^Bearer (?<token>\S{1,500})$/v;
 
-/** Finds the caller by its bearer token's digest. */
-export function identify(request: IncomingMessage, callers: ReadonlyMap<string, Caller>): Caller {
+/** Finds the caller by the digest of its bearer token; throws `callerUnknown` or `headerInvalid`. */
+export function authenticate(request: IncomingMessage, callers: ReadonlyMap<string, Caller>): Caller {
 	const {authorization} = request.headers;
 	const token = bearerPattern.exec(authorization ?? '')?.groups?.token;
 	if (token === undefined) {
@@ -23,12 +23,12 @@
 	return callers.get(digestOf(token)) ?? fail('callerUnknown');
 }
 
-/** Callers by token digest. */
+/** Indexes callers by token digest. */
 export function indexCallers({callers}: Bundle): ReadonlyMap<string, Caller> {
 	return new Map(callers.map(each => [each.tokenDigest, each]));
 }
 
-/** Reads the whole body, up to the limit. */
+/** Reads the whole body; throws `bodyTooLarge` above `bodyBytes`. */
 export async function readBody(request: IncomingMessage, {bodyBytes}: Limits): Promise<Uint8Array> {
 	if (Number(request.headers['content-length'] ?? 0) > bodyBytes) {
 		fail('bodyTooLarge', {detail: `at most ${bodyBytes} bytes`});
@@ -49,7 +49,7 @@
 	return Buffer.concat(chunks);
 }
 
-/** Parses a JSON body. */
+/** Parses a JSON body; throws `bodyNotJson`. */
 export function parseBody(body: Uint8Array): unknown {
 	try {
 		return JSON.parse(new TextDecoder().decode(body));
@@ -58,8 +58,8 @@
 	}
 }
 
-/** A header that may stand once, or undefined. */
-export function headerOf(request: IncomingMessage, name: string): string | undefined {
+/** Returns a header's value, or undefined if absent; throws `headerInvalid` if it is repeated. */
+export function readHeader(request: IncomingMessage, name: string): string | undefined {
 	const value = request.headers[name];
 	if (Array.isArray(value)) {
 		fail('headerInvalid', {detail: `${name} stands twice`});
@@ -68,21 +68,21 @@
 	return value;
 }
 
-/** Where a caller's copy of a stream ends. */
+/** The last event that a caller received of a stream. */
 export type StreamPosition = {
 	readonly engine: string;
 	readonly attempt: number;
-	/** Number of the last token that the caller has. */
-	readonly last: number;
-	/** Which run under the key it was; empty for a request without a key. */
-	readonly run: string;
+	/** Number of the last token received. */
+	readonly lastToken: number;
+	/** Run of the keyed request; empty without a key. */
+	readonly runId: string;
 };
 
 const positionPattern = /^(?<engine>[a-z0-9.\-]{1,64})\/(?<attempt>\d{1,4})\/(?<last>\d{1,9})(?:\/(?<run>[a-z0-9.\-]{1,100}))?$/v;
 
-/** Reads `Last-Event-ID`, or undefined where there is none. */
-export function readPosition(request: IncomingMessage): StreamPosition | undefined {
-	const header = headerOf(request, callerHeaders.lastEvent);
+/** Parses `Last-Event-ID`; undefined if absent, throws `headerInvalid` if malformed. */
+export function readStreamPosition(request: IncomingMessage): StreamPosition | undefined {
+	const header = readHeader(request, callerHeaders.lastEvent);
 	if (header === undefined) {
 		return undefined;
 	}
@@ -93,7 +93,7 @@
 	}
 
 	return {
-		engine, attempt: Number(attempt), last: Number(last), run: run ?? '',
+		engine, attempt: Number(attempt), lastToken: Number(last), runId: run ?? '',
 	};
 }
 
--- a/packages/host/src/front/service-call.ts
+++ b/packages/host/src/front/service-call.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to plain services. Safety: a call that may not be repeated is put on
- * one socket at most. "Not run" is said only if no byte left, or if the
- * endpoint itself says that it refused; otherwise the truth is "unknown".
+ * Calls to plain services. Safety: a non-repeatable call is written to one
+ * socket at most. A failure reports `ran: no` only if no byte was sent, or if
+ * the endpoint says that it refused; otherwise `ran` is `unknown`.
  */
 import {type Agent} from 'node:http';
 import {type Service} from '@gatehead/schema/bundle';
@@ -13,16 +13,16 @@
 import {StallTimer} from '../core/stall-timer.js';
 import {type Context} from '../core/context.js';
 
-const mostAnswerBytes = 4_000_000;
-const comeBackMs = 1000;
-const mostRepeats = 2;
-/** Header by which an endpoint says that it did not run a call. */
+const maxResponseBytes = 4_000_000;
+const retryAfterMs = 1000;
+const maxUncertainRetries = 2;
+/** Response header with which an endpoint reports that it did not run a call. */
 export const ranHeader = 'gatehead-ran';
 
 /** A replica of a plain service. */
 export type Replica = Service['replicas'][number];
 
-/** What became of a call. */
+/** Outcome of a call. */
 export type CallOutcome
 	= | {readonly kind: 'answer'; readonly status: number; readonly contentType: string; readonly body: string}
 		| {readonly kind: 'failed'; readonly failure: Failure};
@@ -37,23 +37,23 @@
 	readonly body: Uint8Array;
 };
 
-/** What a call works with. */
+/** Dependencies of a call. */
 export type CallParts = {
 	readonly context: Context;
 	readonly agent: Agent;
-	/** Whether a replica still takes new work; asked again right before the write. */
+	/** Whether a replica accepts new work; checked again immediately before the write of a non-repeatable call. */
 	readonly takesWork: (service: string, replica: string) => boolean;
 };
 
-/** Replicas in the order to try: own hall first, in chance order within a hall. */
+/** Returns the replicas that are not leaving in the order to try: those of `hall` first, then all others, each group shuffled. */
 export function orderReplicas({replicas}: Service, hall: string, random: Random): Replica[] {
 	return shuffle(random, replicas.filter(each => !each.leaving)).toSorted((left, right) => Number(left.hall !== hall) - Number(right.hall !== hall));
 }
 
-/** Makes the call and tells the truth about it. Never raises. */
+/** Calls replicas in turn until one responds or the call may not be retried. Never rejects. */
 export async function callService(parts: CallParts, call: ServiceCall): Promise<CallOutcome> {
 	const {context} = parts;
-	let failure = new Failure('endpointsDown', {retryAfterMs: comeBackMs});
+	let failure = new Failure('endpointsDown', {retryAfterMs});
 	let repeats = 0;
 	for (const replica of orderReplicas(call.service, context.settings.hall, context.random)) {
 		if (!parts.takesWork(call.service.name, replica.name)) {
@@ -68,7 +68,7 @@
 		failure = outcome.failure;
 		if (failure.ran !== 'no') {
 			repeats += 1;
-			if (!call.service.repeatable || repeats > mostRepeats) {
+			if (!call.service.repeatable || repeats > maxUncertainRetries) {
 				return outcome;
 			}
 		}
@@ -84,27 +84,27 @@
 	counters.count('calls', service.name);
 	timeline.record({kind: 'callStarted', request: id, endpoint: replica.name});
 	try {
-		return await exchange(parts, call, replica, watch.signal);
+		return await sendToReplica(parts, call, replica, watch.signal);
 	} catch (error) {
-		return {kind: 'failed', failure: judge(error)};
+		return {kind: 'failed', failure: toCallFailure(error)};
 	} finally {
 		watch.stop();
 		timeline.record({kind: 'callEnded', request: id, endpoint: replica.name});
 	}
 }
 
-async function exchange({agent, takesWork}: CallParts, {id, service, method, path, contentType, body}: ServiceCall, replica: Replica, signal: AbortSignal): Promise<CallOutcome> {
+async function sendToReplica({agent, takesWork}: CallParts, {id, service, method, path, contentType, body}: ServiceCall, replica: Replica, signal: AbortSignal): Promise<CallOutcome> {
 	const httpCall: HttpCall = {
 		address: replica.address, method, path, headers: {'content-type': contentType, 'gatehead-request': id}, body, signal,
 	};
 	const response = service.repeatable ? await sendCall(httpCall, agent) : await sendOnce(httpCall, () => takesWork(service.name, replica.name));
-	const text = await readText(response, mostAnswerBytes);
+	const text = await readText(response, maxResponseBytes);
 	if (!response.complete) {
-		throw new CallError(true, new Error('the answer was cut'));
+		throw new CallError(true, new Error('response was truncated'));
 	}
 
 	if (response.headers[ranHeader] === 'no') {
-		return {kind: 'failed', failure: new Failure('endpointRefused', {retryAfterMs: comeBackMs})};
+		return {kind: 'failed', failure: new Failure('endpointRefused', {retryAfterMs})};
 	}
 
 	return {
@@ -112,10 +112,10 @@
 	};
 }
 
-/** Only a failure before the first byte left proves that the call did not run. */
-function judge(error: unknown): Failure {
+/** Only an error before the first byte was sent proves that the call did not run. */
+function toCallFailure(error: unknown): Failure {
 	if (error instanceof CallError && !error.mayHaveBeenSent) {
-		return new Failure('endpointsDown', {retryAfterMs: comeBackMs, cause: error});
+		return new Failure('endpointsDown', {retryAfterMs, cause: error});
 	}
 
 	return toFailure(error instanceof CallError ? new Failure('answerLost', {cause: error}) : error, 'answerLost');
--- a/packages/host/src/front/services.ts
+++ b/packages/host/src/front/services.ts
@@ -1,7 +1,7 @@
 /**
- * `/services/NAME/…`: plain services beside the engines. Safety: a call that
- * may not be repeated needs a ticket, is run by the ticket's incarnation
- * only, and a second try finds the first.
+ * `/services/NAME/…`: plain services. Safety: a non-repeatable call needs a
+ * ticket, is run only by the incarnation that the ticket names, and a retry
+ * under the same key gets the first call's outcome.
  */
 import {Buffer} from 'node:buffer';
 import {digestOf} from '@gatehead/schema/canonical-json';
@@ -9,16 +9,15 @@
 import {type Service} from '@gatehead/schema/bundle';
 import {fail} from '@gatehead/schema/failure';
 import {readIdempotencyKey, type IdempotencyKey} from '../core/ticket.js';
-import {enterLedger, failCustody, findCustody} from './custody.js';
-import {forward, isForwarded} from './forward.js';
-import {headerOf, readBody} from './intake.js';
+import {enterLedger, failUnavailableOwner, findRequestOwner} from './request-owner.js';
+import {forwardRequest, isForwarded} from './forward.js';
+import {readHeader, readBody} from './request-reader.js';
 import {type Call, type FrontParts, type Job} from './parts.js';
 import {sendFailure} from './reply.js';
 import {
 	callService, type CallOutcome, type CallParts, type ServiceCall,
 } from './service-call.js';
 
-/** Finds the service that a path names. */
 function findService({inForce, url}: Call): Service {
 	const name = url.pathname.slice(callerPaths.services.length).split('/')[0];
 	return inForce.bundle.services.find(each => each.name === name) ?? fail('serviceUnknown');
@@ -36,15 +35,15 @@
 	}
 }
 
-/** Answers a call to a plain service. */
-export async function answerService(parts: FrontParts, calls: CallParts, call: Call, makeId: () => string): Promise<void> {
+/** Handles a call to a plain service; errors are thrown as `Failure`. */
+export async function handleServiceCall(parts: FrontParts, calls: CallParts, call: Call, createRequestId: () => string): Promise<void> {
 	const service = findService(call);
 	const {request, caller, url} = call;
 	const body = await readBody(request, parts.context.settings.limits);
-	const header = headerOf(request, callerHeaders.key);
+	const header = readHeader(request, callerHeaders.key);
 	const key = header === undefined ? undefined : readIdempotencyKey(header, caller.name, parts.context.settings.keys.tickets);
 	const serviceCall: ServiceCall = {
-		id: key?.id ?? makeId(), service, method: request.method ?? 'GET', path: url.pathname.slice(callerPaths.services.length + service.name.length) + url.search || '/', contentType: request.headers['content-type'] ?? 'application/octet-stream', body,
+		id: key?.id ?? createRequestId(), service, method: request.method ?? 'GET', path: url.pathname.slice(callerPaths.services.length + service.name.length) + url.search || '/', contentType: request.headers['content-type'] ?? 'application/octet-stream', body,
 	};
 	if (key === undefined) {
 		if (!service.repeatable) {
@@ -55,21 +54,21 @@
 		return;
 	}
 
-	const custody = findCustody(parts, key);
-	if (custody.kind === 'elsewhere' && !isForwarded(request)) {
-		forward(parts, call, body, custody.member);
+	const owner = findRequestOwner(parts, key);
+	if (owner.kind === 'remote' && !isForwarded(request)) {
+		forwardRequest(parts, call, body, owner.member);
 		return;
 	}
 
-	if (custody.kind !== 'here') {
-		failCustody(custody.kind === 'elsewhere' ? {kind: 'gone'} : custody);
+	if (owner.kind !== 'local') {
+		failUnavailableOwner(owner.kind === 'remote' ? {kind: 'replaced'} : owner);
 	}
 
-	sendOutcome(call, await callGuarded(parts, calls, serviceCall, key));
+	sendOutcome(call, await callOnce(parts, calls, serviceCall, key));
 }
 
-/** Runs a keyed call once; later calls under the key wait for the same outcome. */
-async function callGuarded(parts: FrontParts, calls: CallParts, call: ServiceCall, {id, ticket}: IdempotencyKey): Promise<CallOutcome> {
+/** Runs a keyed call once; repeated calls under the key wait for the same outcome. */
+async function callOnce(parts: FrontParts, calls: CallParts, call: ServiceCall, {id, ticket}: IdempotencyKey): Promise<CallOutcome> {
 	const {ledger, context} = parts;
 	const {entry: {job}, isRepeat} = enterLedger(parts, {
 		id,
@@ -86,7 +85,7 @@
 		return outcome;
 	}
 
-	// Also "not run" is final for this key: a late copy of the call must not run after its caller was told so
+	// An outcome of `ran: no` is final too: a delayed duplicate must not run after the caller was told that the call did not
 	ledger.end(id);
 	if (outcome.kind === 'failed' && outcome.failure.ran === 'unknown') {
 		context.counters.count('unknown', call.service.name);
--- a/packages/host/src/front/take-over.ts
+++ b/packages/host/src/front/stream-resumption.ts
@@ -1,32 +1,32 @@
 /**
- * Takes over a stream whose guard is gone: the engine may still hold it, and
- * the caller says where its copy ends. Safety: the stream's name begins with
- * the key, which is authenticated to the caller, so nobody can take over
- * another caller's stream; tokens are taken by their numbers as ever.
+ * Resumes a stream whose owner is gone, if the engine still holds it, after
+ * the last event that the caller received. Safety: the stream's id begins with
+ * the key, which is authenticated for its caller, so a caller cannot resume
+ * another caller's stream; tokens are accepted in sequence only.
  */
 import {Failure, toFailure} from '@gatehead/schema/failure';
 import {TokenStream} from '../core/token-stream.js';
 import {StallTimer} from '../core/stall-timer.js';
 import {type IdempotencyKey} from '../core/ticket.js';
 import {type ModelRequest} from '../core/model-request.js';
-import {type StreamPosition} from './intake.js';
+import {type StreamPosition} from './request-reader.js';
 import {type FrontParts} from './parts.js';
 
-/** Reads the rest of a stream into an answer; it ends with `streamGone` where the engine no longer holds it. */
-export function takeOver(parts: FrontParts, work: ModelRequest, {id}: IdempotencyKey, position: StreamPosition): TokenStream {
+/** Resumes a stream into a new answer, which fails with `streamGone` if the engine no longer holds the stream. */
+export function resumeStream(parts: FrontParts, work: ModelRequest, {id}: IdempotencyKey, position: StreamPosition): TokenStream {
 	const abort = new AbortController();
 	const answer = new TokenStream(() => {
 		abort.abort();
-	}, position.last + 1);
-	const request = `${id}.${position.run}`;
+	}, position.lastToken + 1);
+	const request = `${id}.${position.runId}`;
 	const run = async () => {
 		try {
-			await readRest(parts, work, request, position, answer, abort.signal);
+			await readRemainder(parts, work, request, position, answer, abort.signal);
 		} catch (error) {
 			answer.finish({kind: 'failed', failure: abort.signal.aborted ? new Failure('callerGone') : toFailure(error, 'streamGone')});
 		}
 
-		release(parts, request, position, answer);
+		releaseStream(parts, request, position, answer);
 	};
 
 	queueMicrotask(() => {
@@ -35,8 +35,8 @@
 	return answer;
 }
 
-/** Claims the stream at its cell's keeper, then resumes it at the engine under this host's name. */
-async function readRest({attempts: {client, leases, findEngine, context}}: FrontParts, work: ModelRequest, request: string, {engine: name, attempt, last}: StreamPosition, answer: TokenStream, signal: AbortSignal): Promise<void> {
+/** Claims the stream's lease at the cell's keeper, then resumes the stream at the engine with this host as owner. */
+async function readRemainder({attempts: {client, leases, findEngine, context}}: FrontParts, work: ModelRequest, request: string, {engine: name, attempt, lastToken}: StreamPosition, answer: TokenStream, signal: AbortSignal): Promise<void> {
 	const engine = findEngine(name);
 	if (engine === undefined) {
 		throw new Failure('streamGone');
@@ -46,7 +46,7 @@
 	const watch = new StallTimer(context.clock, context.settings.timing.endpointStallMs, signal);
 	try {
 		const answered = await client.resume(engine.address, {
-			request, attempt, owner: context.self, from: last + 1,
+			request, attempt, owner: context.self, from: lastToken + 1,
 		}, watch.signal);
 		if (answered.kind === 'refused') {
 			throw new Failure('streamGone');
@@ -76,20 +76,20 @@
 	}
 }
 
-/** Gives the claim back; what may still be held is cancelled first. */
-function release({attempts: {canceller, leases, findEngine}}: FrontParts, request: string, {engine: name, attempt}: StreamPosition, answer: TokenStream): void {
+/** Releases the lease; first cancels an unfinished stream at its engine. */
+function releaseStream({attempts: {canceller, leases, findEngine}}: FrontParts, request: string, {engine: name, attempt}: StreamPosition, answer: TokenStream): void {
 	const engine = findEngine(name);
 	const lease = {request, attempt};
-	const giveBack = () => {
+	const releaseLease = () => {
 		leases.release(lease, {tokens: 0, goodput: false});
 	};
 
 	if (engine === undefined || answer.end?.kind === 'complete') {
-		giveBack();
+		releaseLease();
 		return;
 	}
 
 	canceller.cancel({
-		engine: name, address: engine.address, request, attempt, onConfirmed: giveBack,
+		engine: name, address: engine.address, request, attempt, onConfirmed: releaseLease,
 	});
 }
