--- a/packages/host/src/keeper/kept-cell.ts
+++ b/packages/host/src/keeper/cell-manager.ts
@@ -1,8 +1,8 @@
 /**
- * One cell while this host keeps it: polls its engines, runs the scheduler,
- * answers asks, lets lapse what nobody claims. All of it is soft state that a
- * new keeper rebuilds from reports and claims. Efficiency, but for the orphan
- * search (see there).
+ * Manages a cell that this host keeps: polls its engines, runs the scheduler,
+ * answers lease requests and expires unclaimed leases. The state is soft: a
+ * new keeper rebuilds it from reports and claims. Efficiency, except for the
+ * orphan search, on which a safety property rests (see `OrphanSearch`).
  */
 import {type Cell} from '@gatehead/policy/core/cell';
 import {leaseKey} from '@gatehead/policy/scheduler/decode-pool';
@@ -19,28 +19,28 @@
 import {OrphanSearch} from './orphan-search.js';
 import {type Orders} from './orders.js';
 
-const stepMs = 10;
-const pollSpread = 0.1;
-/** A cell without any lease is asked this much less often. */
-const idleFactor = 4;
-/** Ticks without a claim after which a lease lapses. */
-const claimTicks = 4;
-/** Reports missed in a row after which an engine gets no new work. */
-const missedReports = 3;
+const decisionIntervalMs = 10;
+const pollJitter = 0.1;
+/** Factor on the poll interval of engines in a cell without leases. */
+const idlePollFactor = 4;
+/** Ticks without a claim after which a lease expires. */
+const claimTimeoutTicks = 4;
+/** Consecutive missed reports after which an engine gets no new work; also the report timeout in poll intervals. */
+const maxMissedReports = 3;
 
-/** What a holder says to a keeper. */
+/** Message from a lease holder to a keeper. */
 export type HolderMessage = PeerMessageOf<'ask' | 'withdraw' | 'prefilled' | 'started' | 'bounced' | 'release' | 'claims'>;
 
-/** What a kept cell works with. */
-export type KeptCellParts = {
+/** Dependencies of `CellManager`. */
+export type CellManagerParts = {
 	readonly context: Context;
 	readonly client: EngineClient;
 	readonly canceller: Canceller;
 	readonly orders: Orders;
 	readonly send: (host: string, message: PeerMessage) => void;
-	/** The caller as the bundle in force describes it. */
+	/** Finds a caller in the bundle in force. */
 	readonly findCaller: (name: string) => Caller | undefined;
-	/** Whether bundle or platform say that an endpoint is leaving. */
+	/** Whether the platform lists an endpoint as leaving. */
 	readonly isLeaving: (endpoint: string) => boolean;
 };
 
@@ -49,19 +49,19 @@
 	claimedAt: number;
 };
 
-/** A cell under this host's care. */
-export class KeptCell {
+/** Manager of one cell. */
+export class CellManager {
 	readonly cell: Cell;
-	readonly #parts: KeptCellParts;
+	readonly #parts: CellManagerParts;
 	readonly #scheduler: Scheduler;
 	readonly #orphans: OrphanSearch;
-	/** Who holds or asks for each lease. */
+	/** Host that holds or requests each lease. */
 	readonly #holders = new Map<string, Holder>();
-	readonly #missed = new Map<string, number>();
+	readonly #missedReports = new Map<string, number>();
 	readonly #abort = new AbortController();
 	readonly #timers = new Map<string, Timer>();
 
-	constructor(cell: Cell, bundle: Bundle, parts: KeptCellParts) {
+	constructor(cell: Cell, bundle: Bundle, parts: CellManagerParts) {
 		this.cell = cell;
 		this.#parts = parts;
 		this.#orphans = new OrphanSearch(parts.context.settings.timing.orphanGraceMs);
@@ -84,21 +84,21 @@
 		return this.#scheduler.load;
 	}
 
-	/** Numbers for operators. */
+	/** Scheduler state, for the admin API. */
 	describe() {
 		return {cell: this.cell.name, ...this.#scheduler.describe()};
 	}
 
-	/** Starts to poll. */
+	/** Starts polling engines and expiring leases. */
 	start(): void {
 		for (const engine of this.cell.engines) {
 			this.#poll(engine);
 		}
 
-		this.#sweep();
+		this.#expireLeases();
 	}
 
-	/** Stops and sends all who wait to the next keeper. */
+	/** Stops all timers and tells every holder that this host no longer keeps the cell. */
 	stop(): void {
 		this.#abort.abort();
 		for (const timer of this.#timers.values()) {
@@ -113,22 +113,22 @@
 		}
 	}
 
-	/** Forgets what was known of orphans, as after a late wake-up. */
-	wakeLate(): void {
+	/** Restarts orphan grace periods and claim timeouts, after a pause of this process. */
+	resetTimeouts(): void {
 		this.#orphans.reset();
 		for (const holder of this.#holders.values()) {
 			holder.claimedAt = this.#parts.context.clock.now();
 		}
 	}
 
-	/** Takes what a holder says. */
-	hear(from: string, message: HolderMessage): void {
+	/** Handles a lease holder's message. */
+	receive(from: string, message: HolderMessage): void {
 		const now = this.#parts.context.clock.now();
-		this.#take(from, message, now);
-		this.#step();
+		this.#dispatch(from, message, now);
+		this.#schedule();
 	}
 
-	#take(from: string, message: HolderMessage, now: number): void {
+	#dispatch(from: string, message: HolderMessage, now: number): void {
 		match(message)
 			.with({kind: 'ask'}, ask => {
 				this.#ask(from, ask, now);
@@ -161,43 +161,43 @@
 
 	#prefilled(from: string, {holdMs, ...lease}: PeerMessageOf<'prefilled'>, now: number): void {
 		const key = leaseKey(lease);
-		this.#claimOne(from, key, now);
+		this.#recordClaim(from, key, now);
 		this.#scheduler.prefillFinished(key, holdMs, now);
-		this.#sayAgain(from, key, 'decode');
+		this.#resendGrant(from, key, 'decode');
 	}
 
 	#adopt(from: string, claims: readonly LeaseClaim[], now: number): void {
 		for (const claim of claims) {
-			this.#claimOne(from, leaseKey(claim), now);
+			this.#recordClaim(from, leaseKey(claim), now);
 			this.#scheduler.adopt(claim, now);
 		}
 	}
 
 	#ask(from: string, {ask}: PeerMessageOf<'ask'>, now: number): void {
 		const key = leaseKey(ask);
-		this.#claimOne(from, key, now);
-		if (!this.#sayAgain(from, key, 'prefill')) {
+		this.#recordClaim(from, key, now);
+		if (!this.#resendGrant(from, key, 'prefill')) {
 			this.#scheduler.ask(ask, now);
 		}
 	}
 
-	/** Says a grant again that the holder seems not to have got. */
-	#sayAgain(from: string, key: string, kind: 'prefill' | 'decode'): boolean {
+	/** Resends a grant of the given kind, if there is one; returns whether it did. */
+	#resendGrant(from: string, key: string, kind: 'prefill' | 'decode'): boolean {
 		const grant = this.#scheduler.findGrant(key);
 		if (grant?.kind !== kind) {
 			return false;
 		}
 
-		this.#tell(from, grant);
+		this.#sendDecision(from, grant);
 		return true;
 	}
 
-	#claimOne(host: string, key: string, now: number): void {
+	#recordClaim(host: string, key: string, now: number): void {
 		this.#holders.set(key, {host, claimedAt: now});
 	}
 
-	/** Decides what can be decided; comes back shortly while something waits. */
-	#step(): void {
+	/** Sends the scheduler's decisions; runs again after `decisionIntervalMs` while requests are queued. */
+	#schedule(): void {
 		if (this.#abort.signal.aborted) {
 			return;
 		}
@@ -206,18 +206,18 @@
 		for (const decision of this.#scheduler.decide(clock.now())) {
 			const holder = this.#holders.get(leaseKey(decision));
 			if (holder !== undefined) {
-				this.#tell(holder.host, decision);
+				this.#sendDecision(holder.host, decision);
 			}
 		}
 
 		if (this.#scheduler.isBusy) {
-			this.#after('step', stepMs, () => {
-				this.#step();
+			this.#setTimer('schedule', decisionIntervalMs, () => {
+				this.#schedule();
 			});
 		}
 	}
 
-	#tell(host: string, decision: Decision): void {
+	#sendDecision(host: string, decision: Decision): void {
 		const {request, attempt} = decision;
 		const cell = this.cell.name;
 		if (decision.kind === 'refuse') {
@@ -235,50 +235,50 @@
 		});
 	}
 
-	/** Sets the one timer of a name. */
-	#after(name: string, delayMs: number, run: () => void): void {
+	/** Replaces the timer of a name. */
+	#setTimer(name: string, delayMs: number, run: () => void): void {
 		this.#timers.get(name)?.stop();
 		this.#timers.set(name, this.#parts.context.clock.after(delayMs, run));
 	}
 
 	#poll(engine: Engine): void {
 		const {context: {settings: {timing: {reportMs}}, random}} = this.#parts;
-		void this.#readReport(engine);
-		const isIdle = this.#missed.get(engine.name) === 0 && this.#scheduler.describe().leases === 0;
-		this.#after(`poll ${engine.name}`, jitter(random, reportMs * (isIdle ? idleFactor : 1), pollSpread), () => {
+		void this.#fetchReport(engine);
+		const isIdle = this.#missedReports.get(engine.name) === 0 && this.#scheduler.describe().leases === 0;
+		this.#setTimer(`poll ${engine.name}`, jitter(random, reportMs * (isIdle ? idlePollFactor : 1), pollJitter), () => {
 			this.#poll(engine);
 		});
 	}
 
-	async #readReport(engine: Engine): Promise<void> {
+	async #fetchReport(engine: Engine): Promise<void> {
 		const {client, context: {clock, settings: {timing: {reportMs}}}} = this.#parts;
 		const abort = new AbortController();
-		const timer = clock.after(reportMs * missedReports, () => {
+		const timer = clock.after(reportMs * maxMissedReports, () => {
 			abort.abort();
 		});
 		try {
-			this.#takeReport(engine, await client.report(engine.address, abort.signal));
+			this.#handleReport(engine, await client.report(engine.address, abort.signal));
 		} catch {
-			this.#missReport(engine);
+			this.#handleMissedReport(engine);
 		} finally {
 			timer.stop();
 		}
 	}
 
-	#takeReport(engine: Engine, report: EngineReport): void {
+	#handleReport(engine: Engine, report: EngineReport): void {
 		if (this.#abort.signal.aborted) {
 			return;
 		}
 
 		const {context, orders, canceller} = this.#parts;
 		const now = context.clock.now();
-		if ((this.#missed.get(engine.name) ?? 0) >= missedReports) {
+		if ((this.#missedReports.get(engine.name) ?? 0) >= maxMissedReports) {
 			context.log('endpointBack', {endpoint: engine.name});
 		}
 
-		this.#missed.set(engine.name, 0);
+		this.#missedReports.set(engine.name, 0);
 		this.#scheduler.report(report, now);
-		orders.review(engine, report);
+		orders.reconcile(engine, report);
 		for (const {request, attempt, owner} of this.#orphans.findOrphans(report, key => this.#holders.has(key), now)) {
 			context.log('orphanCancelled', {endpoint: engine.name, owner: owner.host});
 			context.counters.count('orphans');
@@ -290,30 +290,30 @@
 			});
 		}
 
-		this.#step();
+		this.#schedule();
 	}
 
-	#missReport(engine: Engine): void {
-		const missed = (this.#missed.get(engine.name) ?? 0) + 1;
-		this.#missed.set(engine.name, missed);
-		if (missed >= missedReports && this.#scheduler.markUnhealthy(engine.name)) {
+	#handleMissedReport(engine: Engine): void {
+		const missed = (this.#missedReports.get(engine.name) ?? 0) + 1;
+		this.#missedReports.set(engine.name, missed);
+		if (missed >= maxMissedReports && this.#scheduler.markUnhealthy(engine.name)) {
 			this.#parts.context.log('endpointSuspect', {endpoint: engine.name});
 		}
 	}
 
-	/** Lets lapse what nobody has claimed for some ticks. */
-	#sweep(): void {
+	/** Expires leases without a recent claim, every tick. */
+	#expireLeases(): void {
 		const {clock, settings: {timing: {tickMs}}} = this.#parts.context;
 		const now = clock.now();
 		for (const [key, {claimedAt}] of this.#holders) {
-			if (now - claimedAt > tickMs * claimTicks) {
+			if (now - claimedAt > tickMs * claimTimeoutTicks) {
 				this.#holders.delete(key);
 				this.#scheduler.release(key, 0, now);
 			}
 		}
 
-		this.#after('sweep', tickMs, () => {
-			this.#sweep();
+		this.#setTimer('expiry', tickMs, () => {
+			this.#expireLeases();
 		});
 	}
 }
--- a/packages/host/src/keeper/keeper.ts
+++ b/packages/host/src/keeper/keeper.ts
@@ -1,7 +1,7 @@
 /**
- * The keeper task of one host: takes up and lays down cells as bundle and
- * membership change. Efficiency: two hosts that keep one cell at once grant
- * too much for a while; the engines refuse and the reports shrink both.
+ * Manages the cells that are assigned to this host, as bundle and membership
+ * change. Efficiency: two hosts that keep the same cell over-commit it until
+ * engine refusals and reports correct both schedulers.
  */
 import {deriveCells, selectKeeper, type Cell} from '@gatehead/policy/core/cell';
 import {type MemberRecord, type PeerMessage} from '@gatehead/schema/peer-message';
@@ -10,10 +10,10 @@
 import {type Canceller} from '../core/canceller.js';
 import {type Context} from '../core/context.js';
 import {type EngineClient} from '../core/engine-client.js';
-import {KeptCell, type HolderMessage} from './kept-cell.js';
+import {CellManager, type HolderMessage} from './cell-manager.js';
 import {Orders} from './orders.js';
 
-/** What the keeper works with. */
+/** Dependencies of `Keeper`. */
 export type KeeperParts = {
 	readonly context: Context;
 	readonly client: EngineClient;
@@ -25,19 +25,19 @@
 	readonly isLeaving: (endpoint: string) => boolean;
 };
 
-const none: ReadonlySet<string> = new Set();
+const noHosts: ReadonlySet<string> = new Set();
 
-/** Cells that this host keeps. */
+/** Keeper of this host's cells. */
 export class Keeper {
 	/** Cells of the bundle in force. */
 	cells: readonly Cell[] = [];
 	readonly #parts: KeeperParts;
-	readonly #kept = new Map<string, KeptCell>();
+	readonly #managers = new Map<string, CellManager>();
 	readonly #orders: Orders;
 	readonly #keepersByModel = new Map<string, ReadonlySet<string>>();
-	#keepersStamp = '';
-	/** Content from which each kept cell was made; a changed cell starts anew. */
-	readonly #contents = new Map<string, string>();
+	#keepersCacheKey = '';
+	/** Inputs of each cell's manager; the manager is replaced when they change. */
+	readonly #serializedInputs = new Map<string, string>();
 
 	constructor(parts: KeeperParts) {
 		this.#parts = parts;
@@ -51,30 +51,30 @@
 		});
 	}
 
-	/** Load of the busiest kept cell, from 0 to 1. */
+	/** Load of the busiest cell kept here, from 0 to 1. */
 	get load(): number {
 		let load = 0;
-		for (const cell of this.#kept.values()) {
+		for (const cell of this.#managers.values()) {
 			load = Math.max(load, cell.load);
 		}
 
 		return load;
 	}
 
-	/** Numbers for operators. */
+	/** Scheduler state of each cell kept here, for the admin API. */
 	describe() {
-		return [...this.#kept.values()].map(each => each.describe());
+		return [...this.#managers.values()].map(each => each.describe());
 	}
 
-	/** Hosts that keep cells of a model, worked out once for each change of bundle or members. */
+	/** Hosts that keep cells of a model; cached until the bundle or the membership changes. */
 	keepersOf(model: string | undefined, membersSequence: number): ReadonlySet<string> {
 		if (model === undefined) {
-			return none;
+			return noHosts;
 		}
 
-		const stamp = `${membersSequence} ${this.#parts.bundles.version}`;
-		if (this.#keepersStamp !== stamp) {
-			this.#keepersStamp = stamp;
+		const cacheKey = `${membersSequence} ${this.#parts.bundles.version}`;
+		if (this.#keepersCacheKey !== cacheKey) {
+			this.#keepersCacheKey = cacheKey;
 			this.#keepersByModel.clear();
 		}
 
@@ -88,33 +88,33 @@
 		return keepers;
 	}
 
-	/** Takes up cells that fell to this host, lays down those that went elsewhere. */
+	/** Starts managing cells newly assigned to this host, and stops managing those assigned elsewhere. */
 	review(): void {
 		const {inForce} = this.#parts.bundles;
 		if (inForce === undefined) {
 			return;
 		}
 
-		const own = new Map(this.cells.filter(each => this.#isKeeperOf(each)).map(each => [each.name, each]));
-		for (const name of this.#kept.keys()) {
-			const cell = own.get(name);
-			if (cell === undefined || this.#contents.get(name) !== contentOf(cell, inForce)) {
-				this.#layDown(name);
+		const assigned = new Map(this.cells.filter(each => this.#isKeeperOf(each)).map(each => [each.name, each]));
+		for (const name of this.#managers.keys()) {
+			const cell = assigned.get(name);
+			if (cell === undefined || this.#serializedInputs.get(name) !== serializeInputs(cell, inForce)) {
+				this.#removeCell(name);
 			}
 		}
 
-		for (const [name, cell] of own) {
-			if (!this.#kept.has(name)) {
-				this.#takeUp(cell, inForce);
+		for (const [name, cell] of assigned) {
+			if (!this.#managers.has(name)) {
+				this.#addCell(cell, inForce);
 			}
 		}
 	}
 
-	/** Takes a holder's message; one for a cell kept elsewhere is sent back. */
+	/** Handles a lease holder's message; answers `notKeeper` to a request for a cell kept elsewhere. */
 	hear(from: string, message: HolderMessage): void {
-		const kept = this.#kept.get(message.cell);
-		if (kept !== undefined) {
-			kept.hear(from, message);
+		const manager = this.#managers.get(message.cell);
+		if (manager !== undefined) {
+			manager.receive(from, message);
 			return;
 		}
 
@@ -126,17 +126,17 @@
 		}
 	}
 
-	/** Starts all graces anew after this process was paused. */
+	/** Restarts the timeouts of all cells, after a pause of this process. */
 	wakeLate(): void {
-		for (const cell of this.#kept.values()) {
-			cell.wakeLate();
+		for (const cell of this.#managers.values()) {
+			cell.resetTimeouts();
 		}
 	}
 
-	/** Lays down all cells. */
+	/** Stops managing all cells. */
 	stop(): void {
-		for (const name of this.#kept.keys()) {
-			this.#layDown(name);
+		for (const name of this.#managers.keys()) {
+			this.#removeCell(name);
 		}
 	}
 
@@ -146,30 +146,30 @@
 
 	#keepsEngine(engine: string): boolean {
 		const cell = this.cells.find(({engines}) => engines.some(each => each.name === engine));
-		return cell !== undefined && this.#kept.has(cell.name) && this.#isKeeperOf(cell);
+		return cell !== undefined && this.#managers.has(cell.name) && this.#isKeeperOf(cell);
 	}
 
-	#layDown(name: string): void {
-		this.#kept.get(name)?.stop();
-		this.#kept.delete(name);
-		this.#contents.delete(name);
+	#removeCell(name: string): void {
+		this.#managers.get(name)?.stop();
+		this.#managers.delete(name);
+		this.#serializedInputs.delete(name);
 		this.#parts.context.timeline.record({kind: 'keeperChanged', detail: `lays down ${name}`});
 	}
 
-	#takeUp(cell: Cell, inForce: AdoptedBundle): void {
+	#addCell(cell: Cell, inForce: AdoptedBundle): void {
 		const {context, client, canceller, send, bundles, isLeaving} = this.#parts;
-		const kept = new KeptCell(cell, inForce.bundle, {
+		const manager = new CellManager(cell, inForce.bundle, {
 			context, client, canceller, send, isLeaving, orders: this.#orders, findCaller: name => bundles.inForce?.bundle.callers.find(each => each.name === name),
 		});
-		this.#kept.set(cell.name, kept);
-		this.#contents.set(cell.name, contentOf(cell, inForce));
+		this.#managers.set(cell.name, manager);
+		this.#serializedInputs.set(cell.name, serializeInputs(cell, inForce));
 		context.timeline.record({kind: 'keeperChanged', detail: `takes up ${cell.name}`});
-		kept.start();
+		manager.start();
 	}
 }
 
-/** All that a kept cell was made from. */
-function contentOf(cell: Cell, {bundle: {rules, models}}: AdoptedBundle): string {
+/** Serializes the inputs from which a cell's manager is created, for comparison. */
+function serializeInputs(cell: Cell, {bundle: {rules, models}}: AdoptedBundle): string {
 	return toCanonicalJson({
 		cell, rules, models,
 	});
--- a/packages/host/src/keeper/lease-client.ts
+++ b/packages/host/src/keeper/lease-client.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the keepers of cells for leases on behalf of this host's requests,
- * asks again where a message or a keeper was lost, and claims each tick what
- * is in use. Efficiency: a lease that is wrongly held or lost costs goodput.
+ * Requests leases from the keepers of cells for this host's requests, resends
+ * unanswered messages and renews its claims on leases in use every tick.
+ * Efficiency: a lease that is lost or held too long costs goodput.
  */
 import {ignore} from '@gatehead/policy/utils/ignore';
 import {selectKeeper, type Cell} from '@gatehead/policy/core/cell';
@@ -17,22 +17,21 @@
 import {type ModelRequest} from '../core/model-request.js';
 import {type PeerLinks} from '../peer/peer-links.js';
 
-const comeBackMs = 1000;
-/** Most lease claims of one message. */
-const mostClaims = 5000;
+const retryAfterMs = 1000;
+const maxClaimsPerMessage = 5000;
 
-/** What the client works with. */
+/** Dependencies of `LeaseClient`. */
 export type LeaseClientParts = {
 	readonly context: Context;
 	readonly links: () => PeerLinks<PeerMessage>;
 	/** Cells of the bundle in force. */
 	readonly cells: () => readonly Cell[];
-	/** Hosts that may keep a cell. */
+	/** Hosts that are eligible to keep a cell. */
 	readonly candidates: () => readonly MemberRecord[];
 };
 
-/** A lease that is asked for or held. */
-type Holding = {
+/** A lease that is requested or held. */
+type ClientLease = {
 	readonly key: string;
 	readonly cell: Cell;
 	readonly ask: LeaseAsk;
@@ -40,20 +39,19 @@
 	stage: LeaseClaim['stage'];
 	prefillEngine: string;
 	engine: string;
-	/** Tells the keeper what the holder waits for; undefined while it waits for nothing. */
-	message: (() => PeerMessage) | undefined;
+	/** Builds the message that the keeper has yet to answer; undefined while not waiting. */
+	pending: (() => PeerMessage) | undefined;
 	resolve: (engine: string) => void;
 	reject: (failure: Failure) => void;
-	/** Stops listening for the caller's leaving. */
-	unlisten: () => void;
+	unsubscribe: () => void;
 	sentAt: number;
 };
 
 /** Leases of this host's requests. */
 export class LeaseClient implements LeaseProvider {
 	readonly #parts: LeaseClientParts;
-	readonly #holdings = new Map<string, Holding>();
-	/** Keeper to which each cell's claims last went. */
+	readonly #leases = new Map<string, ClientLease>();
+	/** Keeper of each cell as of the last `keepersChanged`. */
 	readonly #keepers = new Map<string, string>();
 	#timer: Timer | undefined;
 	#isClosed = false;
@@ -62,12 +60,12 @@
 		this.#parts = parts;
 	}
 
-	/** Leases held or asked for. */
+	/** Number of leases held or requested. */
 	get size(): number {
-		return this.#holdings.size;
+		return this.#leases.size;
 	}
 
-	/** Starts to claim each tick. */
+	/** Renews claims every tick until `stop`. */
 	start(): void {
 		const {clock, settings: {timing: {tickMs}}} = this.#parts.context;
 		this.#timer = clock.after(tickMs, () => {
@@ -78,7 +76,6 @@
 		});
 	}
 
-	/** Stops. */
 	stop(): void {
 		this.#isClosed = true;
 		this.#timer?.stop();
@@ -87,21 +84,21 @@
 	async acquirePrefill(model: string, ask: LeaseAsk, signal: AbortSignal): Promise<string> {
 		const {clock, self} = this.#parts.context;
 		const cell = this.#chooseCell(model, self.host);
-		const holding: Holding = {
-			key: leaseKey(ask), cell, ask, askedAt: clock.now(), stage: 'prefill', prefillEngine: '', engine: '', message: undefined, resolve: ignore, reject: ignore, unlisten: ignore, sentAt: 0,
+		const lease: ClientLease = {
+			key: leaseKey(ask), cell, ask, askedAt: clock.now(), stage: 'prefill', prefillEngine: '', engine: '', pending: undefined, resolve: ignore, reject: ignore, unsubscribe: ignore, sentAt: 0,
 		};
-		this.#holdings.set(holding.key, holding);
-		return this.#wait(holding, signal, () => ({
-			kind: 'ask', cell: cell.name, ask: {...ask, slackMs: ask.slackMs - (clock.now() - holding.askedAt)},
+		this.#leases.set(lease.key, lease);
+		return this.#waitForGrant(lease, signal, () => ({
+			kind: 'ask', cell: cell.name, ask: {...ask, slackMs: ask.slackMs - (clock.now() - lease.askedAt)},
 		}));
 	}
 
-	async acquireDecode(lease: LeaseId, cachedTokens: number, holdMs: number, signal: AbortSignal): Promise<string> {
-		const holding = this.#holdings.get(leaseKey(lease)) ?? fail('overloaded', {retryAfterMs: comeBackMs});
-		holding.stage = 'ready';
+	async acquireDecode(leaseName: LeaseId, cachedTokens: number, holdMs: number, signal: AbortSignal): Promise<string> {
+		const lease = this.#leases.get(leaseKey(leaseName)) ?? fail('overloaded', {retryAfterMs});
+		lease.stage = 'ready';
 		const lapsesAt = this.#parts.context.clock.now() + holdMs;
-		return this.#wait(holding, signal, () => ({
-			kind: 'prefilled', cell: holding.cell.name, ...lease, cachedTokens, holdMs: Math.max(0, lapsesAt - this.#parts.context.clock.now()),
+		return this.#waitForGrant(lease, signal, () => ({
+			kind: 'prefilled', cell: lease.cell.name, ...leaseName, cachedTokens, holdMs: Math.max(0, lapsesAt - this.#parts.context.clock.now()),
 		}));
 	}
 
@@ -110,130 +107,130 @@
 			request, attempt, caller: caller.name, priority: caller.priority, promptTokens, maxTokens, blocks: [], slackMs: 0, accepted: true,
 		};
 		const cell = this.#parts.cells().find(({engines}) => engines.some(each => each.name === engine)) ?? this.#chooseCell(model.name, this.#parts.context.self.host);
-		const holding: Holding = {
-			key: leaseKey(ask), cell, ask, askedAt: 0, stage: 'decode', prefillEngine: engine, engine, message: undefined, resolve: ignore, reject: ignore, unlisten: ignore, sentAt: 0,
+		const lease: ClientLease = {
+			key: leaseKey(ask), cell, ask, askedAt: 0, stage: 'decode', prefillEngine: engine, engine, pending: undefined, resolve: ignore, reject: ignore, unsubscribe: ignore, sentAt: 0,
 		};
-		this.#holdings.set(holding.key, holding);
-		this.#claim(cell, [claimOf(holding)]);
+		this.#leases.set(lease.key, lease);
+		this.#sendClaims(cell, [toClaim(lease)]);
 	}
 
 	reportStarted(lease: LeaseId): void {
-		this.#tell(lease, cell => ({kind: 'started', cell, ...lease}));
+		this.#notifyKeeper(lease, cell => ({kind: 'started', cell, ...lease}));
 	}
 
 	reportFailure(lease: LeaseId, engine: string, lost: boolean): void {
-		this.#tell(lease, cell => ({
+		this.#notifyKeeper(lease, cell => ({
 			kind: 'bounced', cell, ...lease, engine, lost,
 		}));
 	}
 
 	release(lease: LeaseId, {tokens, goodput}: LeaseOutcome): void {
-		this.#tell(lease, cell => ({
+		this.#notifyKeeper(lease, cell => ({
 			kind: 'release', cell, ...lease, tokens: Math.max(0, tokens), goodput,
 		}));
-		this.#holdings.delete(leaseKey(lease));
+		this.#leases.delete(leaseKey(lease));
 	}
 
-	/** Takes a keeper's answer. */
+	/** Handles a keeper's response; ignored if its lease is not waiting for one. */
 	hear(message: PeerMessageOf<'prefillGrant' | 'decodeGrant' | 'refusal' | 'notKeeper'>): void {
-		const holding = this.#holdings.get(leaseKey(message));
-		if (holding?.message === undefined) {
+		const lease = this.#leases.get(leaseKey(message));
+		if (lease?.pending === undefined) {
 			return;
 		}
 
 		switch (message.kind) {
 			case 'prefillGrant': {
-				if (holding.stage === 'prefill') {
-					holding.prefillEngine = message.engine;
-					this.#settle(holding);
-					holding.resolve(message.engine);
+				if (lease.stage === 'prefill') {
+					lease.prefillEngine = message.engine;
+					this.#stopWaiting(lease);
+					lease.resolve(message.engine);
 				}
 
 				return;
 			}
 
 			case 'decodeGrant': {
-				if (holding.stage === 'ready') {
-					holding.stage = 'decode';
-					holding.engine = message.engine;
-					this.#settle(holding);
-					holding.resolve(message.engine);
+				if (lease.stage === 'ready') {
+					lease.stage = 'decode';
+					lease.engine = message.engine;
+					this.#stopWaiting(lease);
+					lease.resolve(message.engine);
 				}
 
 				return;
 			}
 
 			case 'refusal': {
-				this.#settle(holding);
-				this.#holdings.delete(holding.key);
-				holding.reject(new Failure(message.code, {retryAfterMs: message.retryAfterMs}));
+				this.#stopWaiting(lease);
+				this.#leases.delete(lease.key);
+				lease.reject(new Failure(message.code, {retryAfterMs: message.retryAfterMs}));
 				return;
 			}
 
 			case 'notKeeper': {
-				holding.sentAt = Number.NEGATIVE_INFINITY;
+				lease.sentAt = Number.NEGATIVE_INFINITY;
 			}
 		}
 	}
 
-	/** Claims what is in use, and asks again for what was not answered. */
+	/** Renews the claims on leases in use, and resends messages that are unanswered for a tick. */
 	renew(): void {
 		const claims = new Map<Cell, LeaseClaim[]>();
-		for (const holding of this.#holdings.values()) {
-			if (holding.message !== undefined) {
-				this.#askAgain(holding);
+		for (const lease of this.#leases.values()) {
+			if (lease.pending !== undefined) {
+				this.#resendIfDue(lease);
 			}
 
-			if (holding.prefillEngine !== '') {
-				const own = claims.get(holding.cell) ?? [];
-				claims.set(holding.cell, own);
-				own.push(claimOf(holding));
+			if (lease.prefillEngine !== '') {
+				const cellClaims = claims.get(lease.cell) ?? [];
+				claims.set(lease.cell, cellClaims);
+				cellClaims.push(toClaim(lease));
 			}
 		}
 
-		for (const [cell, own] of claims) {
-			this.#claim(cell, own.slice(0, mostClaims));
+		for (const [cell, cellClaims] of claims) {
+			this.#sendClaims(cell, cellClaims.slice(0, maxClaimsPerMessage));
 		}
 	}
 
-	/** Tells a cell's new keeper at once what is in use and what is waited for. */
+	/** Sends claims and unanswered messages to the new keeper of each cell whose keeper changed. */
 	keepersChanged(): void {
 		for (const cell of this.#parts.cells()) {
 			const keeper = this.#keeperOf(cell);
 			if (keeper !== undefined && this.#keepers.get(cell.name) !== keeper) {
 				this.#keepers.set(cell.name, keeper);
-				this.#moveTo(cell);
+				this.#announceTo(cell);
 			}
 		}
 	}
 
-	#moveTo(cell: Cell): void {
-		const holdings = [...this.#holdings.values()].filter(each => each.cell.name === cell.name);
-		this.#claim(cell, holdings.filter(each => each.prefillEngine !== '').map(each => claimOf(each)));
-		for (const holding of holdings) {
-			this.#send(holding);
+	#announceTo(cell: Cell): void {
+		const leases = [...this.#leases.values()].filter(each => each.cell.name === cell.name);
+		this.#sendClaims(cell, leases.filter(each => each.prefillEngine !== '').map(each => toClaim(each)));
+		for (const lease of leases) {
+			this.#sendPending(lease);
 		}
 	}
 
-	#claim(cell: Cell, claims: LeaseClaim[]): void {
+	#sendClaims(cell: Cell, claims: LeaseClaim[]): void {
 		const keeper = this.#keeperOf(cell);
 		if (keeper !== undefined && claims.length > 0) {
 			this.#parts.links().send(keeper, {kind: 'claims', cell: cell.name, claims});
 		}
 	}
 
-	/** This host's cell of a model: a near one first, the same one as long as the cells stay. */
+	/** Chooses a cell of a model: one that this host keeps, else by rendezvous hashing, in this host's hall if there is one. */
 	#chooseCell(model: string, host: string): Cell {
 		const cells = this.#parts.cells().filter(each => each.model === model);
 		const {hall} = this.#parts.context.settings;
-		// Leases of a cell that this host keeps itself cost no message
+		// Leases of a cell that this host keeps need no network messages
 		const own = cells.find(each => this.#keeperOf(each) === host);
 		if (own !== undefined) {
 			return own;
 		}
 
-		const near = cells.filter(each => each.halls.includes(hall));
-		const usable = near.length > 0 ? near : cells;
+		const localCells = cells.filter(each => each.halls.includes(hall));
+		const usable = localCells.length > 0 ? localCells : cells;
 		const [name] = rank(host, usable.map(each => each.name));
 		return usable.find(each => each.name === name) ?? fail('modelUnknown');
 	}
@@ -242,78 +239,78 @@
 		return selectKeeper(cell, this.#parts.candidates());
 	}
 
-	async #wait(holding: Holding, signal: AbortSignal, message: () => PeerMessage): Promise<string> {
+	async #waitForGrant(lease: ClientLease, signal: AbortSignal, message: () => PeerMessage): Promise<string> {
 		return new Promise((resolve, reject) => {
-			holding.resolve = resolve;
-			holding.reject = reject;
-			holding.message = message;
-			const leave = () => {
-				this.#leave(holding);
+			lease.resolve = resolve;
+			lease.reject = reject;
+			lease.pending = message;
+			const abandon = () => {
+				this.#abandonWait(lease);
 				reject(new Failure('callerGone'));
 			};
 
 			if (signal.aborted) {
-				leave();
+				abandon();
 				return;
 			}
 
-			signal.addEventListener('abort', leave, {once: true});
-			holding.unlisten = () => {
-				signal.removeEventListener('abort', leave);
+			signal.addEventListener('abort', abandon, {once: true});
+			lease.unsubscribe = () => {
+				signal.removeEventListener('abort', abandon);
 			};
 
-			this.#send(holding);
+			this.#sendPending(lease);
 		});
 	}
 
-	/** Gives up waiting: a request in the line is withdrawn, a lease stays until it is released. */
-	#leave(holding: Holding): void {
-		if (holding.message === undefined) {
+	/** Stops waiting after an abort: a queued prefill request is withdrawn, a lease is held until it is released. */
+	#abandonWait(lease: ClientLease): void {
+		if (lease.pending === undefined) {
 			return;
 		}
 
-		this.#settle(holding);
-		if (holding.stage === 'prefill') {
-			const {request, attempt} = holding.ask;
-			this.#tell({request, attempt}, cell => ({
+		this.#stopWaiting(lease);
+		if (lease.stage === 'prefill') {
+			const {request, attempt} = lease.ask;
+			this.#notifyKeeper({request, attempt}, cell => ({
 				kind: 'withdraw', cell, request, attempt,
 			}));
-			this.#holdings.delete(holding.key);
+			this.#leases.delete(lease.key);
 		}
 	}
 
-	#settle(holding: Holding): void {
-		holding.message = undefined;
-		holding.unlisten();
+	#stopWaiting(lease: ClientLease): void {
+		lease.pending = undefined;
+		lease.unsubscribe();
 	}
 
-	#askAgain(holding: Holding): void {
+	#resendIfDue(lease: ClientLease): void {
 		const {clock, settings: {timing: {tickMs}}} = this.#parts.context;
-		if (clock.now() - holding.sentAt >= tickMs) {
-			this.#send(holding);
+		if (clock.now() - lease.sentAt >= tickMs) {
+			this.#sendPending(lease);
 		}
 	}
 
-	#send(holding: Holding): void {
-		const keeper = this.#keeperOf(holding.cell);
-		if (holding.message === undefined || keeper === undefined) {
+	#sendPending(lease: ClientLease): void {
+		const keeper = this.#keeperOf(lease.cell);
+		if (lease.pending === undefined || keeper === undefined) {
 			return;
 		}
 
-		holding.sentAt = this.#parts.context.clock.now();
-		this.#parts.links().send(keeper, holding.message());
+		lease.sentAt = this.#parts.context.clock.now();
+		this.#parts.links().send(keeper, lease.pending());
 	}
 
-	#tell(lease: LeaseId, make: (cell: string) => PeerMessage): void {
-		const holding = this.#holdings.get(leaseKey(lease));
-		const keeper = holding === undefined ? undefined : this.#keeperOf(holding.cell);
-		if (holding !== undefined && keeper !== undefined) {
-			this.#parts.links().send(keeper, make(holding.cell.name));
+	#notifyKeeper(leaseName: LeaseId, make: (cell: string) => PeerMessage): void {
+		const lease = this.#leases.get(leaseKey(leaseName));
+		const keeper = lease === undefined ? undefined : this.#keeperOf(lease.cell);
+		if (lease !== undefined && keeper !== undefined) {
+			this.#parts.links().send(keeper, make(lease.cell.name));
 		}
 	}
 }
 
-function claimOf({ask: {request, attempt, maxTokens, priority, caller}, stage, engine, prefillEngine}: Holding): LeaseClaim {
+function toClaim({ask: {request, attempt, maxTokens, priority, caller}, stage, engine, prefillEngine}: ClientLease): LeaseClaim {
 	return {
 		request, attempt, stage, engine, prefillEngine, maxTokens, priority, caller, tokens: 0,
 	};
--- a/packages/host/src/keeper/orders.ts
+++ b/packages/host/src/keeper/orders.ts
@@ -1,8 +1,9 @@
 /**
- * Orders to engines, derived from the bundle in force alone: fenced with its
- * version, idempotent, checked again right before the write, read back by the
- * next report. Safety: an engine that checks refuses an older fence; for one
- * that does not, a window of one write remains and the read-back repairs it.
+ * Sends configuration orders to engines, derived only from the bundle in force.
+ * Orders are idempotent, fenced with the bundle's version, checked again
+ * immediately before the write and verified by the next report. Safety: an
+ * engine that checks fences refuses stale orders; one that does not may apply
+ * a stale order sent during that write, until the next report corrects it.
  */
 import {type Bundle, type Engine} from '@gatehead/schema/bundle';
 import {type EngineOrder, type EngineReport, type Owner} from '@gatehead/schema/engine-protocol';
@@ -10,9 +11,9 @@
 import {type Context} from '../core/context.js';
 import {type EngineClient} from '../core/engine-client.js';
 
-const answerMs = 2000;
+const orderTimeoutMs = 2000;
 
-/** What the bundle asks of an engine. */
+/** Returns the order that configures an engine as the bundle specifies. */
 export function orderOf({models, version}: Bundle, {role, model, adapters}: Engine, owner: Owner): EngineOrder {
 	const served = models.find(each => each.name === model);
 	return {
@@ -20,35 +21,35 @@
 	};
 }
 
-/** Whether a report shows what the order asks for. */
+/** Whether a report shows that the engine has applied the order. */
 export function isObeyed({fence, role, model}: EngineOrder, report: EngineReport): boolean {
 	const served = report.models.find(each => each.name === model.name);
 	const hasAdapters = served !== undefined && model.adapters.every(each => served.adapters.includes(each));
 	return report.fence >= fence && report.role === role && served?.version === model.version && hasAdapters;
 }
 
-/** What orders are sent with. */
+/** Dependencies of `Orders`. */
 export type OrderParts = {
 	readonly context: Context;
 	readonly client: EngineClient;
 	readonly bundles: BundleStore;
-	/** Whether this host keeps the engine at this very moment. */
+	/** Whether this host currently keeps the engine's cell. */
 	readonly isKeeper: (engine: string) => boolean;
-	/** Called with a fence above the version in force. */
+	/** Called with an engine's fence that is above the version in force. */
 	readonly onHigherFence: (fence: number) => void;
 };
 
-/** Sends orders; at most one at a time to an engine. */
+/** Sends orders, at most one at a time to each engine. */
 export class Orders {
 	readonly #parts: OrderParts;
-	readonly #open = new Set<string>();
+	readonly #inFlight = new Set<string>();
 
 	constructor(parts: OrderParts) {
 		this.#parts = parts;
 	}
 
-	/** Compares a report with the bundle and orders what is missing. */
-	review(engine: Engine, report: EngineReport): void {
+	/** Sends an order if the report differs from the bundle. */
+	reconcile(engine: Engine, report: EngineReport): void {
 		const {bundles, context, onHigherFence} = this.#parts;
 		const {inForce} = bundles;
 		if (inForce === undefined) {
@@ -61,20 +62,20 @@
 		}
 
 		const order = orderOf(inForce.bundle, engine, context.self);
-		if (!isObeyed(order, report) && !this.#open.has(engine.name)) {
+		if (!isObeyed(order, report) && !this.#inFlight.has(engine.name)) {
 			void this.#send(engine, order);
 		}
 	}
 
 	async #send({name, address}: Engine, order: EngineOrder): Promise<void> {
 		const {context, client, bundles, isKeeper, onHigherFence} = this.#parts;
-		this.#open.add(name);
+		this.#inFlight.add(name);
 		const abort = new AbortController();
-		const timer = context.clock.after(answerMs, () => {
+		const timer = context.clock.after(orderTimeoutMs, () => {
 			abort.abort();
 		});
 		try {
-			// The last look before the write: a newer bundle or a lost keepership makes the order void
+			// Last check before the write: the order is stale if the bundle or the keeper has changed
 			if (bundles.version !== order.fence || !isKeeper(name)) {
 				return;
 			}
@@ -88,10 +89,10 @@
 				onHigherFence(fence);
 			}
 		} catch {
-			// The next report shows what is still missing
+			// The next report triggers another attempt
 		} finally {
 			timer.stop();
-			this.#open.delete(name);
+			this.#inFlight.delete(name);
 		}
 	}
 }
--- a/packages/host/src/keeper/orphan-search.ts
+++ b/packages/host/src/keeper/orphan-search.ts
@@ -1,13 +1,13 @@
 /**
- * Finds what engines hold for owners that are gone: a stream or result that
- * no living owner claims for a whole grace is cancelled. Safety of "no memory
- * held for a caller who is gone" after an owner died rests on this; a cut-off
- * but living owner loses a stream and goes on elsewhere.
+ * Finds streams and results that engines hold for hosts that are gone: those
+ * that no host claims for the grace period are orphans. Safety: releasing
+ * the memory of disconnected callers after their host died depends on this. A
+ * live host that is cut off from the keeper loses its stream and retries.
  */
 import {leaseKey} from '@gatehead/policy/scheduler/decode-pool';
 import {type EngineReport, type Owner} from '@gatehead/schema/engine-protocol';
 
-/** Something held that nobody claims. */
+/** A stream or result that no host claims. */
 export type Orphan = {
 	readonly request: string;
 	readonly attempt: number;
@@ -16,7 +16,7 @@
 
 type Held = Orphan & {readonly ageMs: number};
 
-/** What one keeper has seen unclaimed at its engines, and since when. */
+/** Tracks since when the engines of one cell have held unclaimed streams and results. */
 export class OrphanSearch {
 	readonly #graceMs: number;
 	readonly #unclaimedSince = new Map<string, number>();
@@ -25,38 +25,38 @@
 		this.#graceMs = graceMs;
 	}
 
-	/** Compares a report with the claims; returns what is unclaimed past the grace. */
+	/** Compares a report with the claims; returns what has been unclaimed for the grace period. */
 	findOrphans({name, streams, results}: EngineReport, isClaimed: (key: string) => boolean, now: number): Orphan[] {
 		const orphans: Orphan[] = [];
-		const seen = new Set<string>();
+		const reported = new Set<string>();
 		const held: readonly Held[] = [...streams, ...results];
 		for (const each of held) {
 			const key = `${name} ${leaseKey(each)}`;
-			seen.add(key);
+			reported.add(key);
 			if (isClaimed(leaseKey(each))) {
 				this.#unclaimedSince.delete(key);
 				continue;
 			}
 
-			const since = this.#unclaimedSince.get(key) ?? now;
-			this.#unclaimedSince.set(key, since);
-			if (now - since >= this.#graceMs) {
+			const unclaimedSince = this.#unclaimedSince.get(key) ?? now;
+			this.#unclaimedSince.set(key, unclaimedSince);
+			if (now - unclaimedSince >= this.#graceMs) {
 				orphans.push({request: each.request, attempt: each.attempt, owner: each.owner});
 			}
 		}
 
-		this.#forgetGone(name, seen);
+		this.#removeReleased(name, reported);
 		return orphans;
 	}
 
-	/** Starts every grace anew, as after a late wake-up. */
+	/** Restarts all grace periods. */
 	reset(): void {
 		this.#unclaimedSince.clear();
 	}
 
-	#forgetGone(engine: string, seen: ReadonlySet<string>): void {
+	#removeReleased(engine: string, reported: ReadonlySet<string>): void {
 		for (const key of this.#unclaimedSince.keys()) {
-			if (key.startsWith(`${engine} `) && !seen.has(key)) {
+			if (key.startsWith(`${engine} `) && !reported.has(key)) {
 				this.#unclaimedSince.delete(key);
 			}
 		}
