--- a/packages/host/src/peer/bundle-spread.ts
+++ b/packages/host/src/peer/bundle-spread.ts
@@ -1,17 +1,17 @@
 /**
- * Spreads bundles between hosts: whoever hears of a newer manifest asks for
- * it and for the sections that it lacks. Efficiency: what comes is only
- * offered; the bundle store decides by signature and version.
+ * Replicates bundles between hosts: a host that learns of a newer manifest
+ * requests it with the sections that it lacks. Efficiency: a received bundle
+ * is only offered to the bundle store, which checks signature and version.
  */
 import {rank} from '@gatehead/policy/core/rendezvous';
 import {type MemberRecord, type PeerMessage, type PeerMessageOf} from '@gatehead/schema/peer-message';
 import {type BundleStore} from '../core/bundle-store.js';
 import {type Context} from '../core/context.js';
 
-/** Hosts of a hall that watch the configuration service. */
+/** Number of hosts of a hall that watch the configuration service. */
 const watchersPerHall = 2;
 
-/** What spreading works with. */
+/** Dependencies of `BundleSpread`. */
 export type BundleSpreadParts = {
 	readonly context: Context;
 	readonly bundles: BundleStore;
@@ -19,10 +19,10 @@
 	readonly candidates: () => readonly MemberRecord[];
 };
 
-/** The spreading of bundles at one host. */
+/** Replication of bundles to and from this host's peers. */
 export class BundleSpread {
 	readonly #parts: BundleSpreadParts;
-	/** Sections known from any bundle seen, so that a small change moves few bytes. */
+	/** Sections of the bundle in force by digest; peers send only the others. */
 	#sections: Readonly<Record<string, string>> = {};
 
 	constructor(parts: BundleSpreadParts) {
@@ -32,14 +32,14 @@
 		});
 	}
 
-	/** Whether it falls to this host to watch the service: to a few in each hall, by rank. */
+	/** Whether this host watches the configuration service: `watchersPerHall` hosts of each hall do, chosen by rendezvous hashing. */
 	isWatcher(): boolean {
 		const {context: {settings: {host, hall}}, candidates} = this.#parts;
-		const near = candidates().filter(each => each.hall === hall).map(each => each.host);
-		return rank(`watch ${hall}`, near.includes(host) ? near : [...near, host]).slice(0, watchersPerHall).includes(host);
+		const hallHosts = candidates().filter(each => each.hall === hall).map(each => each.host);
+		return rank(`watch ${hall}`, hallHosts.includes(host) ? hallHosts : [...hallHosts, host]).slice(0, watchersPerHall).includes(host);
 	}
 
-	/** Compares a peer's bundle with the own one and asks for a newer one. */
+	/** Requests a peer's bundle if its version is newer than the local one's or, for equal versions, its manifest digest is greater. */
 	heartbeat(from: string, {bundleVersion, manifestDigest}: PeerMessageOf<'heartbeat'>): void {
 		const {bundles} = this.#parts;
 		const isOther = bundleVersion === bundles.version && manifestDigest > (bundles.inForce?.manifestDigest ?? '');
@@ -48,12 +48,12 @@
 		}
 	}
 
-	/** Asks a host for its bundle. */
+	/** Requests a host's bundle. */
 	ask(host: string): void {
 		this.#parts.send(host, {kind: 'bundleWanted', have: Object.keys(this.#sections)});
 	}
 
-	/** Gives the own bundle, without the sections that the asker has. */
+	/** Sends the bundle in force, without the sections that the peer has. */
 	give(to: string, {have}: PeerMessageOf<'bundleWanted'>): void {
 		const {inForce} = this.#parts.bundles;
 		if (inForce === undefined) {
@@ -65,7 +65,7 @@
 		this.#parts.send(to, {kind: 'bundle', signed, sections: missing});
 	}
 
-	/** Offers a bundle that a peer gave. */
+	/** Offers a peer's bundle to the bundle store. */
 	take({signed, sections}: PeerMessageOf<'bundle'>): void {
 		this.#parts.bundles.offer({...signed, sections: {...this.#sections, ...sections}});
 	}
--- a/packages/host/src/peer/noted-hosts.ts
+++ b/packages/host/src/peer/host-state-tracker.ts
@@ -1,23 +1,22 @@
 /**
- * What was last noted of each host: its state as told to operators, and since
- * when it is dead, so that it is forgotten one day. Efficiency: nobody's
- * promise rests on who is thought to be alive.
+ * Tracks the last logged state of each host, and how long it has been dead.
+ * Efficiency: no safety property depends on which hosts are considered alive.
  */
 import {type Code} from '@gatehead/schema/codes';
 import {type MemberRecord, type MemberState} from '@gatehead/schema/peer-message';
 import {type PeerContext} from './peer-context.js';
 
-/** Time after which a dead host that the list no longer names is forgotten. */
-const forgetMs = 600_000;
+/** Time in milliseconds after which a dead host that is no longer listed is removed. */
+const deadHostRetentionMs = 600_000;
 
 const stateCodes: Record<MemberState, Code> = {
 	alive: 'memberAlive', leaving: 'memberLeaving', suspect: 'memberSuspect', dead: 'memberDead',
 };
 
-/** The hosts that were noted. */
-export class NotedHosts {
+/** Logs state changes of hosts and finds those that can be removed. */
+export class HostStateTracker {
 	readonly #context: Pick<PeerContext, 'clock' | 'log' | 'timeline'>;
-	/** State of each host as last told to operators. */
+	/** Last logged state of each host. */
 	readonly #states = new Map<string, MemberState>();
 	readonly #deadSince = new Map<string, number>();
 
@@ -25,8 +24,8 @@
 		this.#context = context;
 	}
 
-	/** Tells operators of a host whose state has changed. */
-	note({host, state, load}: MemberRecord): void {
+	/** Logs a host's state if it has changed. */
+	record({host, state, load}: MemberRecord): void {
 		const {clock, log, timeline} = this.#context;
 		if (this.#states.get(host) === state) {
 			return;
@@ -43,18 +42,18 @@
 		timeline.record({kind: 'memberChanged', peer: host, detail: state});
 	}
 
-	/** Forgets hosts that have been dead for long and that the list no longer names; returns them. */
-	forgetGone(listed: ReadonlySet<string>): string[] {
+	/** Removes and returns hosts that have been dead for longer than the retention time and are not listed. */
+	removeExpired(listed: ReadonlySet<string>): string[] {
 		const now = this.#context.clock.now();
-		const gone: string[] = [];
+		const expired: string[] = [];
 		for (const [host, at] of this.#deadSince) {
-			if (now - at > forgetMs && !listed.has(host)) {
+			if (now - at > deadHostRetentionMs && !listed.has(host)) {
 				this.#deadSince.delete(host);
 				this.#states.delete(host);
-				gone.push(host);
+				expired.push(host);
 			}
 		}
 
-		return gone;
+		return expired;
 	}
 }
--- a/packages/host/src/peer/membership.ts
+++ b/packages/host/src/peer/membership.ts
@@ -1,7 +1,8 @@
 /**
- * Membership of one host: heartbeats with a few neighbours, suspicion before
- * death, the platform's lagging list as a roster, and notice of own late
- * wake-ups. Efficiency: nobody's promise rests on who is thought to be alive.
+ * Gossip-based membership: heartbeats with a few neighbours, suspicion
+ * before a host is declared dead, discovery through the platform's list of
+ * hosts, and detection of pauses of this process. Efficiency: no safety
+ * property depends on which hosts are considered alive.
  */
 import {Members} from '@gatehead/policy/core/members';
 import {type Timer} from '@gatehead/policy/utils/clock';
@@ -9,88 +10,87 @@
 import {type Owner} from '@gatehead/schema/engine-protocol';
 import {type MemberRecord} from '@gatehead/schema/peer-message';
 import {type ListedHost} from '@gatehead/schema/platform-protocol';
-import {makeNeighbour, Neighbourhood, type Neighbour} from './neighbourhood.js';
-import {NotedHosts} from './noted-hosts.js';
+import {createNeighbour, Neighbourhood, type Neighbour} from './neighbourhood.js';
+import {HostStateTracker} from './host-state-tracker.js';
 import {type PeerContext} from './peer-context.js';
 import {type Roster} from './roster.js';
 
-const tickSpread = 0.1;
-const loadStep = 0.25;
-/** Least time between two changes of the own load, for each host of the fleet, so that all hosts' news stay within a fixed rate. */
-const loadNewsMsPerHost = 100;
-const leastLoadNewsMs = 2000;
-/** Ticks between tries to reach a host that is thought to be gone. */
-const healTicks = 3;
-/** Time that a neighbour gets to answer a heartbeat before its link is given up for a new one, in milliseconds: twenty times what an answer takes. */
-const linkAnswerMs = 400;
-const none: ReadonlySet<string> = new Set();
-
-/** What a heartbeat says of hosts; what else it carries is its sender's own. */
+const tickJitter = 0.1;
+const loadResolution = 0.25;
+/** Minimum time between updates of this host's load, in milliseconds per host of the fleet: bounds the rate of updates of all hosts together. */
+const loadUpdateMsPerHost = 100;
+const minLoadUpdateMs = 2000;
+/** Ticks between probes of a suspect or dead host. */
+const probeTicks = 3;
+/** Time in milliseconds after which a neighbour without an answer to a heartbeat is reconnected; about twenty times the usual answer time. */
+const heartbeatTimeoutMs = 400;
+const noEndpoints: ReadonlySet<string> = new Set();
+
+/** The membership part of a heartbeat: member records that the receiver may lack. */
 export type Heartbeat = {
 	readonly isAnswer: boolean;
 	readonly news: readonly MemberRecord[];
 };
 
-/** How membership speaks to other hosts. Whether a word arrives is not known. */
+/** Sends messages to other hosts, without delivery guarantees. */
 export type Voice = {
 	heartbeat(host: string, beat: Heartbeat): void;
-	/** Tells a host what is wrongly thought of it, so that it refutes that. */
+	/** Sends a host the record that says it is suspect or dead, for it to refute. */
 	doubt(host: string, record: MemberRecord): void;
 	hello(host: string): void;
 	/** Closes the stream to a peer; the next message reconnects. */
 	renew(host: string): void;
 };
 
-/** What membership works with. */
+/** Dependencies of `Membership`. */
 export type MembershipParts = {
 	readonly context: PeerContext;
 	readonly voice: Voice;
-	/** Makes the reader of a published list of hosts, where there is one. */
+	/** Creates the reader of the platform's list of hosts; absent if there is no such list. */
 	readonly makeRoster?: (onRead: (hosts: readonly ListedHost[]) => void) => Roster;
-	/** Own load from 0 to 1. */
+	/** Load of this host, from 0 to 1. */
 	readonly measureLoad: () => number;
-	/** Called at each change of what is known of any host. */
+	/** Called after a change of any member record. */
 	readonly onChange: () => void;
-	/** Called when this process finds that it was paused. */
+	/** Called when a pause of this process is detected. */
 	readonly onLateWake: () => void;
 };
 
-/** The membership task. */
+/** Membership protocol of one host. */
 export class Membership {
 	readonly members: Members;
 	readonly #parts: MembershipParts;
 	readonly #roster: Roster | undefined;
 	readonly #neighbourhood = new Neighbourhood();
-	readonly #noted: NotedHosts;
+	readonly #stateTracker: HostStateTracker;
 	readonly #suspectedAt = new Map<string, number>();
 	readonly #abort = new AbortController();
 	#timers: Timer[] = [];
-	#tickAt = 0;
-	#ticks = 0;
-	#loadAt = 0;
+	#lastTickAt = 0;
+	#tickCount = 0;
+	#loadUpdatedAt = 0;
 
 	constructor(parts: MembershipParts, self: MemberRecord) {
 		this.#parts = parts;
-		this.#noted = new NotedHosts(parts.context);
+		this.#stateTracker = new HostStateTracker(parts.context);
 		this.members = new Members(self);
 		this.#roster = parts.makeRoster?.(hosts => {
-			this.#takeRoster(hosts);
+			this.#applyRoster(hosts);
 		});
 	}
 
-	/** Endpoints that the platform's list calls leaving. */
+	/** Endpoints that the platform lists as leaving. */
 	get leavingEndpoints(): ReadonlySet<string> {
-		return this.#roster?.leavingEndpoints ?? none;
+		return this.#roster?.leavingEndpoints ?? noEndpoints;
 	}
 
-	/** Starts ticks and reads of the roster. */
+	/** Starts the ticks and the roster. */
 	start(): void {
-		this.#tickAt = this.#parts.context.clock.now();
+		this.#lastTickAt = this.#parts.context.clock.now();
 		this.#scheduleTick();
 		this.#roster?.start();
 	}
 
-	/** Stops. */
 	stop(): void {
 		this.#abort.abort();
 		this.#roster?.stop();
@@ -99,89 +99,89 @@
 		}
 	}
 
-	/** Tells all that this host is leaving. */
+	/** Announces that this host is leaving. */
 	leave(): void {
 		this.members.updateSelf({state: 'leaving'});
 		this.#announce();
 	}
 
-	/** Sends what is new to all neighbours at once, as after the adoption of a bundle. */
+	/** Sends a heartbeat that needs no answer to all peers immediately, for example after a bundle was adopted. */
 	announceNow(): void {
 		this.#announce();
 	}
 
-	/** Neighbours whose heartbeats this host awaits, and that were silent for so long. */
+	/** Chosen neighbours that have been silent for more than `silenceMs` milliseconds. */
 	listSilent(silenceMs: number): string[] {
 		return this.#neighbourhood.listSilent(this.#parts.context.clock.now(), silenceMs);
 	}
 
-	/** Whether all neighbours were silent for so long: this host may be cut off from its peers alone. */
+	/** Whether all chosen neighbours have been silent for more than `silenceMs` milliseconds: this host may be partitioned from its peers. */
 	hearsNobody(silenceMs: number): boolean {
 		const {size} = this.#neighbourhood.chosen;
 		return size > 0 && this.listSilent(silenceMs).length === size;
 	}
 
-	/** Takes a peer's first words. */
+	/** Handles the first message of a peer. */
 	hello(record: MemberRecord): void {
 		this.#merge([record]);
 	}
 
-	/** Takes a peer's doubt about this host and answers it with the own record, which refutes it. */
+	/** Handles a peer's record of this host as suspect or dead, and refutes it with the local record. */
 	doubt(from: Owner, record: MemberRecord): void {
 		this.members.merge(record);
 		this.#parts.voice.hello(from.host);
 	}
 
-	/** Takes a heartbeat and answers it where the sender chose this host. */
+	/** Handles a heartbeat; answers it unless it is an answer itself or comes from a chosen neighbour. */
 	heartbeat(from: Owner, {news, isAnswer}: Heartbeat): void {
 		const now = this.#parts.context.clock.now();
 		this.#merge(news);
-		this.#vouch(from);
+		this.#challengeIfGone(from);
 		const chosen = this.#neighbourhood.chosen.get(from.host);
 		if (chosen !== undefined) {
-			chosen.heardAt = now;
-			chosen.beatAt = isAnswer ? chosen.beatAt : now;
+			chosen.lastHeardAt = now;
+			chosen.lastHeartbeatAt = isAnswer ? chosen.lastHeartbeatAt : now;
 			return;
 		}
 
-		// Two hosts that answered each other's answers would never stop
+		// Answering an answer would loop forever
 		if (!isAnswer) {
-			this.#send(from.host, this.#neighbourhood.answer(from.host, now), true);
+			this.#send(from.host, this.#neighbourhood.recordHeartbeat(from.host, now), true);
 		}
 	}
 
-	/** Takes note of a broken link; a refused connection means that the process is not there. */
+	/** Handles a broken link; a refused connection means that the peer's process is not running. */
 	lost(host: string, isRefused: boolean): void {
-		const neighbour = this.#neighbourhood.lose(host);
+		const neighbour = this.#neighbourhood.handleLinkLoss(host);
 		if (isRefused) {
-			this.#judge(host, 'dead');
+			this.#markState(host, 'dead');
 			return;
 		}
 
 		this.#retry(host, neighbour);
 	}
 
-	/** One more word tells a broken link from a process that is gone; once a tick, so that a dead address costs little. */
+	/** Sends a heartbeat over a new link, at most once per tick: a refused connection then shows that the peer's process is gone. */
 	#retry(host: string, neighbour: Neighbour | undefined): void {
 		const {clock, settings: {timing: {tickMs}}} = this.#parts.context;
 		const now = clock.now();
-		if (neighbour === undefined || this.#abort.signal.aborted || now - neighbour.retriedAt < tickMs) {
+		if (neighbour === undefined || this.#abort.signal.aborted || now - neighbour.lastRetryAt < tickMs) {
 			return;
 		}
 
-		neighbour.retriedAt = now;
+		neighbour.lastRetryAt = now;
 		this.#send(host, neighbour);
 	}
 
 	#scheduleTick(): void {
 		const {clock, settings: {timing: {tickMs}}, random} = this.#parts.context;
-		this.#after(jitter(random, tickMs, tickSpread), () => {
+		this.#setTimer(jitter(random, tickMs, tickJitter), () => {
 			this.#tick(clock.now());
 			this.#scheduleTick();
 		});
 	}
 
-	#after(delayMs: number, run: () => void): void {
+	#setTimer(delayMs: number, run: () => void): void {
 		if (this.#abort.signal.aborted) {
 			return;
 		}
@@ -194,26 +194,26 @@
 	}
 
 	#tick(now: number): void {
-		this.#ticks += 1;
-		this.#noticePause(now);
+		this.#tickCount += 1;
+		this.#detectPause(now);
 		this.#updateLoad(now);
 		this.#neighbourhood.choose(this.members.neighbours(), now);
-		this.#suspect(now);
-		this.#heal();
-		this.#beat();
+		this.#updateSuspicions(now);
+		this.#probeGoneHost();
+		this.#sendHeartbeats();
 	}
 
-	/** A process that slept knows nothing of the meantime: it may suspect nobody and must learn anew. */
-	#noticePause(now: number): void {
+	/** Detects a pause of this process. The silence of neighbours during a pause proves nothing, so all suspicion starts over. */
+	#detectPause(now: number): void {
 		const {context, onLateWake} = this.#parts;
 		const {tickMs, lateWakeMs} = context.settings.timing;
-		const late = now - this.#tickAt - tickMs;
-		this.#tickAt = now;
+		const late = now - this.#lastTickAt - tickMs;
+		this.#lastTickAt = now;
 		if (late < lateWakeMs) {
 			return;
 		}
 
-		this.#neighbourhood.hearAll(now);
+		this.#neighbourhood.resetSilence(now);
 		this.#suspectedAt.clear();
 		this.members.updateSelf({});
 		context.log('lateWake', {lateMs: Math.round(late)});
@@ -223,33 +223,33 @@
 	}
 
 	#updateLoad(now: number): void {
-		const load = Math.round(this.#parts.measureLoad() / loadStep) * loadStep;
-		const pauseMs = Math.max(leastLoadNewsMs, this.members.list().length * loadNewsMsPerHost);
-		if (load !== this.members.self.load && now - this.#loadAt >= pauseMs) {
-			this.#loadAt = now;
+		const load = Math.round(this.#parts.measureLoad() / loadResolution) * loadResolution;
+		const pauseMs = Math.max(minLoadUpdateMs, this.members.list().length * loadUpdateMsPerHost);
+		if (load !== this.members.self.load && now - this.#loadUpdatedAt >= pauseMs) {
+			this.#loadUpdatedAt = now;
 			this.members.updateSelf({load});
 		}
 	}
 
-	#suspect(now: number): void {
+	#updateSuspicions(now: number): void {
 		const {suspectMs} = this.#parts.context.settings.timing;
 		for (const host of this.#neighbourhood.listSilent(now, suspectMs)) {
-			this.#judge(host, 'suspect');
+			this.#markState(host, 'suspect');
 		}
 
 		for (const [host, at] of this.#suspectedAt) {
 			if (now - at > suspectMs) {
 				this.#suspectedAt.delete(host);
-				this.#judge(host, 'dead');
+				this.#markState(host, 'dead');
 			}
 		}
 
-		this.#neighbourhood.forget(now, 2 * suspectMs);
+		this.#neighbourhood.removeSilent(now, 2 * suspectMs);
 	}
 
-	/** Now and then one host that is thought to be gone is spoken to, so that a split heals by itself. */
-	#heal(): void {
-		if (this.#ticks % healTicks !== 0) {
+	/** Periodically sends a heartbeat to a random suspect or dead host, so that a partition heals. */
+	#probeGoneHost(): void {
+		if (this.#tickCount % probeTicks !== 0) {
 			return;
 		}
 
@@ -257,9 +257,9 @@
 		const gone = this.members.list().filter(({state}) => state === 'dead' || state === 'suspect');
 		const host = pick(random, gone)?.host;
 		if (host !== undefined) {
-			// What silenced the link that there was may have left the host alive
+			// The link may be dead while the host is alive
 			this.#parts.voice.renew(host);
-			this.#send(host, makeNeighbour(0));
+			this.#send(host, createNeighbour(0));
 		}
 	}
 
@@ -269,31 +269,31 @@
 		}
 	}
 
-	/** The heartbeat proper, which the chosen neighbours answer. */
-	#beat(): void {
+	/** Sends a heartbeat to each chosen neighbour and schedules the checks for answers. */
+	#sendHeartbeats(): void {
 		const {clock, settings: {timing: {tickMs}}} = this.#parts.context;
 		const sentAt = clock.now();
 		for (const [host, neighbour] of this.#neighbourhood.chosen) {
 			this.#send(host, neighbour);
 		}
 
-		// Twice a tick: neighbours that beat by themselves may fall due at any time
-		for (const waitMs of [linkAnswerMs, linkAnswerMs + (tickMs / 2)]) {
-			this.#after(waitMs, () => {
-				this.#renewOverdue(sentAt, sentAt + waitMs);
+		// Two checks per tick: the heartbeat of a neighbour that also chose this host may fall due at any time
+		for (const waitMs of [heartbeatTimeoutMs, heartbeatTimeoutMs + (tickMs / 2)]) {
+			this.#setTimer(waitMs, () => {
+				this.#reconnectOverdue(sentAt, sentAt + waitMs);
 			});
 		}
 	}
 
-	/** Open connections may die in silence, without a reset. Neighbours whose word is overdue are spoken to again over new ones, with all news since the start. */
-	#renewOverdue(sentAt: number, wakeAt: number): void {
+	/** Reconnects to neighbours whose heartbeat is overdue, as a connection may die without a reset, and resends all member records. */
+	#reconnectOverdue(sentAt: number, wakeAt: number): void {
 		const {context: {clock, settings: {timing: {tickMs}}}, voice} = this.#parts;
-		const isLate = clock.now() - wakeAt > linkAnswerMs;
-		const overdue = this.#neighbourhood.listOverdue({sentAt, dueAt: wakeAt - linkAnswerMs, beatMs: (1 + tickSpread) * tickMs});
-		// Where this process is late itself, answers may wait unread
+		const isLate = clock.now() - wakeAt > heartbeatTimeoutMs;
+		const overdue = this.#neighbourhood.listOverdue({sentAt, dueAt: wakeAt - heartbeatTimeoutMs, heartbeatMs: (1 + tickJitter) * tickMs});
+		// If this process is late itself, answers may be waiting unread
 		for (const host of isLate ? [] : overdue) {
 			voice.renew(host);
-			const neighbour = this.#neighbourhood.lose(host);
+			const neighbour = this.#neighbourhood.handleLinkLoss(host);
 			if (neighbour !== undefined) {
 				this.#send(host, neighbour);
 			}
@@ -301,13 +301,13 @@
 	}
 
 	#send(host: string, neighbour: Neighbour, isAnswer = false): void {
-		const news = this.members.listChangedAfter(neighbour.sent);
-		neighbour.sent = this.members.sequence;
+		const news = this.members.listChangedAfter(neighbour.sentSequence);
+		neighbour.sentSequence = this.members.sequence;
 		this.#parts.voice.heartbeat(host, {isAnswer, news});
 	}
 
-	/** Whoever speaks is there: a host thought to be gone is told so and refutes it. */
-	#vouch({host}: Owner): void {
+	/** Tells a sender that is recorded as suspect or dead, so that it refutes the record. */
+	#challengeIfGone({host}: Owner): void {
 		const known = this.members.recordOf(host);
 		if (known !== undefined && (known.state === 'dead' || known.state === 'suspect')) {
 			this.#parts.voice.doubt(host, known);
@@ -321,7 +321,7 @@
 			const changed = this.members.merge(record);
 			if (changed !== undefined) {
 				isChanged = true;
-				this.#note(changed);
+				this.#recordState(changed);
 			}
 		}
 
@@ -334,9 +334,9 @@
 		}
 	}
 
-	#judge(host: string, state: 'suspect' | 'dead'): void {
-		const judged = this.members.markState(host, state);
-		if (judged === undefined) {
+	#markState(host: string, state: 'suspect' | 'dead'): void {
+		const updated = this.members.markState(host, state);
+		if (updated === undefined) {
 			return;
 		}
 
@@ -344,29 +344,29 @@
 			this.#suspectedAt.set(host, this.#parts.context.clock.now());
 		}
 
-		this.#note(judged);
+		this.#recordState(updated);
 		this.#announce();
 		this.#parts.onChange();
 	}
 
-	#note(record: MemberRecord): void {
+	#recordState(record: MemberRecord): void {
 		if (record.state !== 'suspect' && record.state !== 'dead') {
 			this.#suspectedAt.delete(record.host);
 		}
 
-		this.#noted.note(record);
+		this.#stateTracker.record(record);
 	}
 
-	/** Hosts that have been gone for long and that the list no longer names are forgotten, so that replaced names do not pile up. */
-	#forgetGone(listed: ReadonlySet<string>): void {
-		for (const host of this.#noted.forgetGone(listed)) {
+	/** Removes long-dead hosts that the platform no longer lists, to bound the member list. */
+	#removeExpired(listed: ReadonlySet<string>): void {
+		for (const host of this.#stateTracker.removeExpired(listed)) {
 			this.members.forget(host);
 		}
 	}
 
-	/** Learns of hosts from the platform's list; hosts that it calls leaving or leaves out are judged by their heartbeats alone. */
-	#takeRoster(hosts: readonly ListedHost[]): void {
-		this.#forgetGone(new Set(hosts.map(each => each.host)));
+	/** Adds unknown hosts from the platform's list. The state of known hosts follows from heartbeats only. */
+	#applyRoster(hosts: readonly ListedHost[]): void {
+		this.#removeExpired(new Set(hosts.map(each => each.host)));
 		this.#merge(hosts.filter(({host}) => this.members.recordOf(host) === undefined).map(({host, hall, region, callerAddress, peerAddress, adminAddress}) => ({
 			host, hall, region, incarnation: 0, counter: 0, state: 'alive', callerAddress, peerAddress, adminAddress, load: 0,
 		})));
--- a/packages/host/src/peer/neighbourhood.ts
+++ b/packages/host/src/peer/neighbourhood.ts
@@ -1,40 +1,40 @@
 /**
- * With whom one host exchanges heartbeats: neighbours that it chose, whose
- * silence it judges, and hosts that chose it, whom it answers. Efficiency.
+ * The peers of one host in the heartbeat protocol: neighbours that it chose
+ * and monitors, and hosts that chose it and get answers. Efficiency only.
  */
 
-/** One host at the other end of heartbeats. */
+/** Heartbeat state of one peer; times are on the local clock, in milliseconds. */
 export type Neighbour = {
-	/** Own clock's instant of the last heartbeat heard. */
-	heardAt: number;
-	/** Own clock's instant of its last heartbeat that was no answer: a neighbour that chose this host as well beats by itself, and does not answer. */
-	beatAt: number;
-	/** Sequence of the newest record sent. */
-	sent: number;
-	/** When a broken link was last tried again. */
-	retriedAt: number;
+	/** Time of the last heartbeat or answer received. */
+	lastHeardAt: number;
+	/** Time of the last heartbeat that was not an answer; a neighbour that also chose this host sends heartbeats instead of answers. */
+	lastHeartbeatAt: number;
+	/** Sequence number up to which member records were sent. */
+	sentSequence: number;
+	/** Time of the last retry of a broken link. */
+	lastRetryAt: number;
 };
 
-/** What is expected of neighbours: an answer to what was sent at `sentAt`, or a heartbeat in the `beatMs` before `dueAt`, by the own clock in milliseconds. */
-export type Expectation = {
+/** Expected of each neighbour: an answer after `sentAt`, or a heartbeat in the `heartbeatMs` before `dueAt`; on the local clock, in milliseconds. */
+export type ResponseDeadline = {
 	readonly sentAt: number;
 	readonly dueAt: number;
-	readonly beatMs: number;
+	readonly heartbeatMs: number;
 };
 
-/** A neighbour of whom nothing is known. */
-export function makeNeighbour(now: number): Neighbour {
+/** Creates the state of a new peer, with `now` as the start of its silence. */
+export function createNeighbour(now: number): Neighbour {
 	return {
-		heardAt: now, beatAt: Number.NEGATIVE_INFINITY, sent: 0, retriedAt: Number.NEGATIVE_INFINITY,
+		lastHeardAt: now, lastHeartbeatAt: Number.NEGATIVE_INFINITY, sentSequence: 0, lastRetryAt: Number.NEGATIVE_INFINITY,
 	};
 }
 
-/** The neighbours of one host. */
+/** Heartbeat peers of one host. */
 export class Neighbourhood {
 	readonly #chosen = new Map<string, Neighbour>();
 	readonly #answered = new Map<string, Neighbour>();
 
-	/** Neighbours chosen here: heartbeats go out to them and are expected back. */
+	/** Neighbours that this host chose: it sends them heartbeats and expects answers. */
 	get chosen(): ReadonlyMap<string, Neighbour> {
 		return this.#chosen;
 	}
@@ -44,7 +44,7 @@
 		return this.#answered;
 	}
 
-	/** Takes over a new choice. */
+	/** Replaces the chosen neighbours; hosts that stay chosen keep their state. */
 	choose(hosts: readonly string[], now: number): void {
 		const wanted = new Set(hosts);
 		for (const host of this.#chosen.keys()) {
@@ -55,57 +55,57 @@
 
 		for (const host of wanted) {
 			if (!this.#chosen.has(host)) {
-				this.#chosen.set(host, this.#answered.get(host) ?? makeNeighbour(now));
+				this.#chosen.set(host, this.#answered.get(host) ?? createNeighbour(now));
 				this.#answered.delete(host);
 			}
 		}
 	}
 
-	/** Notes a heartbeat of a host that chose this one. */
-	answer(host: string, now: number): Neighbour {
-		const neighbour = this.#answered.get(host) ?? makeNeighbour(now);
-		neighbour.heardAt = now;
+	/** Records a heartbeat of a host that chose this one. */
+	recordHeartbeat(host: string, now: number): Neighbour {
+		const neighbour = this.#answered.get(host) ?? createNeighbour(now);
+		neighbour.lastHeardAt = now;
 		this.#answered.set(host, neighbour);
 		return neighbour;
 	}
 
-	/** Notes a broken link; what was sent over it has to be sent again. */
-	lose(host: string): Neighbour | undefined {
+	/** Records a broken link: member records have to be sent again. Returns the neighbour if it is a chosen one. */
+	handleLinkLoss(host: string): Neighbour | undefined {
 		this.#answered.delete(host);
 		const neighbour = this.#chosen.get(host);
 		if (neighbour !== undefined) {
-			neighbour.sent = 0;
+			neighbour.sentSequence = 0;
 		}
 
 		return neighbour;
 	}
 
-	/** Chosen neighbours that were silent for too long. */
+	/** Chosen neighbours that have been silent for more than `silenceMs` milliseconds. */
 	listSilent(now: number, silenceMs: number): string[] {
-		return [...this.#chosen].filter(([, {heardAt}]) => now - heardAt > silenceMs).map(([host]) => host);
+		return [...this.#chosen].filter(([, {lastHeardAt}]) => now - lastHeardAt > silenceMs).map(([host]) => host);
 	}
 
-	/** Chosen neighbours whose word is overdue: an answer to a heartbeat, or, where they beat by themselves, their next heartbeat. */
-	listOverdue({sentAt, dueAt, beatMs}: Expectation): string[] {
-		const isBeating = ({beatAt}: Neighbour) => sentAt - beatAt < 2 * beatMs;
+	/** Chosen neighbours whose answer is overdue or, if they send heartbeats themselves, whose next heartbeat is. */
+	listOverdue({sentAt, dueAt, heartbeatMs}: ResponseDeadline): string[] {
+		const sendsHeartbeats = ({lastHeartbeatAt}: Neighbour) => sentAt - lastHeartbeatAt < 2 * heartbeatMs;
 		return [...this.#chosen]
-			.filter(([, neighbour]) => neighbour.heardAt < (isBeating(neighbour) ? dueAt - beatMs : sentAt))
+			.filter(([, neighbour]) => neighbour.lastHeardAt < (sendsHeartbeats(neighbour) ? dueAt - heartbeatMs : sentAt))
 			.map(([host]) => host);
 	}
 
-	/** Forgets hosts that no longer choose this one. */
-	forget(now: number, silenceMs: number): void {
-		for (const [host, {heardAt}] of this.#answered) {
-			if (now - heardAt > silenceMs) {
+	/** Removes hosts that chose this one and have been silent for more than `silenceMs` milliseconds. */
+	removeSilent(now: number, silenceMs: number): void {
+		for (const [host, {lastHeardAt}] of this.#answered) {
+			if (now - lastHeardAt > silenceMs) {
 				this.#answered.delete(host);
 			}
 		}
 	}
 
-	/** Starts all silences anew, as after a late wake-up. */
-	hearAll(now: number): void {
+	/** Restarts the silence of all chosen neighbours, after a pause of this process. */
+	resetSilence(now: number): void {
 		for (const neighbour of this.#chosen.values()) {
-			neighbour.heardAt = now;
+			neighbour.lastHeardAt = now;
 		}
 	}
 }
--- a/packages/host/src/peer/peer-context.ts
+++ b/packages/host/src/peer/peer-context.ts
@@ -1,7 +1,4 @@
-/**
- * What links and membership need of the process they run in, so that hosts
- * of either front share them. Neither safety nor efficiency rests here.
- */
+/** Dependencies that peer links and membership take from the process, for use by both this package and `relay`. */
 import {type Clock} from '@gatehead/policy/utils/clock';
 import {type Random} from '@gatehead/policy/utils/random';
 import {type Owner} from '@gatehead/schema/engine-protocol';
@@ -10,12 +7,12 @@
 import {type Log} from '../utils/log.js';
 import {type Timeline} from '../utils/timeline.js';
 
-/** Counts of what links and membership do. */
+/** Metrics of peer links and membership. */
 export type PeerCounters = {
 	count(metric: 'peerMessages' | 'peerBytes' | 'lateWakes' | 'linksRenewed', tag?: string, amount?: number): void;
 };
 
-/** The part of a process's settings that links and membership read. */
+/** Settings of peer links and membership. */
 export type PeerSettings = {
 	readonly listen: {readonly peer: string};
 	readonly timing: Pick<Timing, 'tickMs' | 'suspectMs' | 'lateWakeMs'>;
@@ -23,7 +20,7 @@
 	readonly keys: {readonly tls?: Settings['keys']['tls']};
 };
 
-/** Clocks, books and settings of the process. */
+/** Settings, clocks, log and metrics of the process. */
 export type PeerContext = {
 	readonly settings: PeerSettings;
 	readonly clock: Clock;
@@ -32,6 +29,6 @@
 	readonly counters: PeerCounters;
 	readonly hybrid: HybridClock;
 	readonly timeline: Timeline;
-	/** This incarnation. */
+	/** This host and its incarnation. */
 	readonly self: Owner;
 };
--- a/packages/host/src/peer/peer-links.test.ts
+++ b/packages/host/src/peer/peer-links.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: how hosts find each other when an address does not answer. */
+/** Contact with an address whose first connection attempt hangs. */
 import {once} from 'node:events';
 import {createServer, type Socket} from 'node:net';
 import {describe, it} from 'node:test';
@@ -41,11 +41,11 @@
 	});
 }
 
-/** A link that never comes must not hold up the whole run, in milliseconds. */
+/** Test timeout in milliseconds, for a link that is never established. */
 const hangMs = 60_000;
 
-describe('peer links', () => {
-	it('who is greeted again while the first connection hangs gets a new one', {timeout: hangMs}, async () => {
+describe('PeerLinks', () => {
+	it('opens a new connection when an address is contacted again while the first one hangs', {timeout: hangMs}, async () => {
 		const accepted: Socket[] = [];
 		const silent = createServer(socket => {
 			accepted.push(socket);
@@ -56,7 +56,7 @@
 		const caller = makeLinks('caller', '127.0.0.1:0', ignore);
 		caller.greet(address);
 		await once(silent, 'connection');
-		// Takes no more connections; the one that it has stays open and silent
+		// Stops accepting; the accepted connection stays open and silent
 		silent.close();
 
 		const heard: string[] = [];
--- a/packages/host/src/peer/peer-links.ts
+++ b/packages/host/src/peer/peer-links.ts
@@ -1,7 +1,7 @@
 /**
- * Links between hosts: one long-lived gRPC stream a pair, opened by whoever
- * has something to say first. All that is said in one turn goes as one
- * message. Efficiency: a link may break and lose messages at any time.
+ * Links between hosts: one long-lived bidirectional gRPC stream per pair,
+ * opened by whichever sends first. Messages sent in the same turn of the
+ * event loop are batched. Efficiency: a link may lose messages at any time.
  */
 import {Buffer} from 'node:buffer';
 import {readFileSync} from 'node:fs';
@@ -17,13 +17,13 @@
 import {type PeerContext} from './peer-context.js';
 
 const keepaliveMs = 10_000;
-/** Time that a keep-alive gets, in milliseconds: fifty times the way between halls. A link on which nothing is said is given up after both. */
-const keepaliveAnswerMs = 1000;
-/** Least age of a link that is given up for a new one, in milliseconds: a new one must have had the time to show that it works. */
-const leastLinkMs = 1000;
+/** Time in milliseconds to wait for a keepalive acknowledgement; far above the latency between halls. An idle link is closed if none arrives. */
+const keepaliveTimeoutMs = 1000;
+/** Minimum age in milliseconds at which `renew` closes a link, so that a new link has time to receive an answer. */
+const minLinkAgeMs = 1000;
 const linkPath = '/gatehead.Peer/Link';
 
-/** A packed list of messages; packed once, so that its size can be counted. */
+/** A batch of messages in MessagePack encoding; encoded before gRPC serialization so that its size can be counted. */
 type Packed = Uint8Array;
 type Duplex = ClientDuplexStream<Packed, unknown> | ServerDuplexStream<unknown, Packed>;
 
@@ -39,31 +39,30 @@
 	},
 } satisfies ServiceDefinition;
 
-/** The first words on every link: who speaks. */
+/** First message on every link: identifies the sender. */
 type Hello = PeerMessageOf<'hello'>;
 
-/** What a host says besides. */
-type Spoken = {readonly kind: string};
+type BaseMessage = {readonly kind: string};
 
-function isHello(message: Spoken): message is Hello {
+function isHello(message: BaseMessage): message is Hello {
 	return message.kind === 'hello';
 }
 
-/** Who hears of what happens on the links. */
-export type LinkListener<Message extends Spoken> = {
+/** Receives the events of the links. */
+export type LinkListener<Message extends BaseMessage> = {
 	onMessage(from: Owner, message: Message): void;
-	/** A link broke; `isRefused` where the peer's process is not there any more. */
+	/** Called when a link breaks; `isRefused` if the peer's address refused the connection. */
 	onLost(host: string, isRefused: boolean): void;
-	/** This host's own record, said first on every link. */
+	/** This host's member record, sent first on every link. */
 	ownRecord(): Hello['record'];
-	/** Where a host listens for peers. */
+	/** Peer address of a host, if known. */
 	addressOf(host: string): string | undefined;
 };
 
 type Link<Message> = {
 	readonly host: string;
 	readonly stream: Duplex;
-	/** When it was opened, on this host's clock. */
+	/** Time of opening on this host's clock, in milliseconds. */
 	readonly openedAt: number;
 	readonly close: () => void;
 	pending: Array<Hello | Message>;
@@ -71,8 +70,8 @@
 };
 
 /** All links of one process. */
-export class PeerLinks<Message extends Spoken> {
-	/** Hosts to which nothing gets through, for tests of splits. */
+export class PeerLinks<Message extends BaseMessage> {
+	/** Hosts whose messages are dropped in both directions, to simulate partitions in tests. */
 	readonly blocked = new Set<string>();
 	readonly #context: PeerContext;
 	readonly #schema: z.ZodType<Message[]>;
@@ -82,7 +81,7 @@
 	readonly #clients = new Map<string, Client>();
 	#isClosed = false;
 
-	/** `schema` checks what arrives: a list of messages, the hello among them. */
+	/** `schema` validates received batches and must accept the hello message. */
 	constructor(context: PeerContext, schema: z.ZodType<Message[]>, listener: LinkListener<Message>) {
 		this.#context = context;
 		this.#schema = schema;
@@ -95,7 +94,7 @@
 		});
 	}
 
-	/** Starts to listen; resolves with the bound address. */
+	/** Starts listening; resolves with the bound address, rejects with `addressInUse`. */
 	async listen(): Promise<string> {
 		const {listen: {peer}} = this.#context.settings;
 		const port = await new Promise<number>((resolve, reject) => {
@@ -110,7 +109,7 @@
 		return joinAddress({ip: splitAddress(peer).ip, port});
 	}
 
-	/** Says something to a host, or to this process itself. Whether it arrives is not known. */
+	/** Sends a message to a host, or asynchronously to this process itself. Delivery is not guaranteed. */
 	send(host: string, message: Message): void {
 		if (this.#isClosed || this.blocked.has(host)) {
 			return;
@@ -140,18 +139,18 @@
 		}
 	}
 
-	/** Speaks to an address before the host's name is known, as to the seeds of the settings. */
+	/** Opens a link to an address whose host is not known yet, such as a seed. */
 	greet(address: string): void {
-		this.#forgetHanging(address);
+		this.#dropConnectingClient(address);
 		const link = this.#open('', address);
 		this.#flush(link);
 	}
 
-	/** Gives up a link on which an answer is overdue, unless it is new: it may have died in silence while its host lives, and what is said next goes over a new connection. */
+	/** Closes a link on which an answer is overdue, unless it is newer than `minLinkAgeMs`; the next message opens a new connection. */
 	renew(host: string): void {
 		const {clock, counters, log} = this.#context;
 		const link = this.#links.get(host);
-		if (this.#isClosed || (link !== undefined && clock.now() - link.openedAt < leastLinkMs)) {
+		if (this.#isClosed || (link !== undefined && clock.now() - link.openedAt < minLinkAgeMs)) {
 			return;
 		}
 
@@ -166,7 +165,7 @@
 		}
 	}
 
-	/** Closes everything. */
+	/** Closes the server and all links. */
 	close(): void {
 		this.#isClosed = true;
 		for (const {close} of this.#links.values()) {
@@ -180,8 +179,8 @@
 		this.#server.forceShutdown();
 	}
 
-	/** A host without power says nothing to a first packet, which is sent again only after a second: whoever is greeted again gets a new connection. */
-	#forgetHanging(address: string): void {
+	/** Drops a client that is still connecting: its SYN may be lost, and the kernel retransmits it only after a second. */
+	#dropConnectingClient(address: string): void {
 		const client = this.#clients.get(address);
 		if (client?.getChannel().getConnectivityState(false) === connectivityState.CONNECTING) {
 			client.close();
@@ -209,7 +208,7 @@
 	}
 
 	#open(host: string, address: string): Link<Message> {
-		const client = this.#clientOf(address);
+		const client = this.#getClient(address);
 		const stream = client.makeBidiStreamRequest(linkPath, service.link.requestSerialize, service.link.responseDeserialize);
 		const link: Link<Message> = {
 			host, stream, openedAt: this.#context.clock.now(), close() {
@@ -220,7 +219,7 @@
 			this.#links.set(host, link);
 		}
 
-		this.#hear(link, stream);
+		this.#receive(link, stream);
 		return link;
 	}
 
@@ -230,21 +229,21 @@
 				stream.end();
 			}, pending: [], isFlushing: false,
 		};
-		this.#hear(link, stream);
+		this.#receive(link, stream);
 	}
 
 	#hello(): Hello {
 		return {kind: 'hello', from: this.#context.self, record: this.#listener.ownRecord()};
 	}
 
-	/** Reads batches; the first message says who speaks. */
-	#hear(dialed: Link<Message>, stream: Duplex): void {
+	/** Receives batches; the first message identifies the sender. */
+	#receive(opened: Link<Message>, stream: Duplex): void {
 		let from: Owner | undefined;
-		let link = dialed;
+		let link = opened;
 		stream.on('data', (data: unknown) => {
 			const parsed = this.#schema.safeParse(data);
 			if (!parsed.success) {
-				this.#context.log('peerRefused', {detail: 'a message that does not fit the schema'});
+				this.#context.log('peerRefused', {detail: 'message does not match the schema'});
 				link.close();
 				return;
 			}
@@ -260,7 +259,7 @@
 				}
 			}
 		});
-		const lose = (isRefused: boolean) => {
+		const handleLoss = (isRefused: boolean) => {
 			if (this.#links.get(link.host)?.stream === stream) {
 				this.#links.delete(link.host);
 				if (!this.#isClosed) {
@@ -270,18 +269,18 @@
 		};
 
 		stream.on('error', (error: Error) => {
-			lose(error.message.includes('ECONNREFUSED'));
+			handleLoss(error.message.includes('ECONNREFUSED'));
 		});
 		stream.on('end', () => {
 			stream.end();
-			lose(false);
+			handleLoss(false);
 		});
 		stream.on('cancelled', () => {
-			lose(false);
+			handleLoss(false);
 		});
 	}
 
-	/** A link that a peer opened serves for answers too; the dialing side hears a hello back. */
+	/** Names a link after its peer's hello, so that it serves both directions, and replies with a hello. */
 	#register(link: Link<Message>, host: string): Link<Message> {
 		if (link.host !== '') {
 			return link;
@@ -293,15 +292,15 @@
 		return named;
 	}
 
-	#clientOf(address: string): Client {
+	#getClient(address: string): Client {
 		let client = this.#clients.get(address);
 		if (client === undefined) {
 			const Generic = makeGenericClientConstructor(service, 'Peer');
 			client = new Generic(address, this.#clientCredentials(), {
 				'grpc.max_receive_message_length': this.#context.settings.limits.peerMessageBytes,
 				'grpc.keepalive_time_ms': keepaliveMs,
-				'grpc.keepalive_timeout_ms': keepaliveAnswerMs,
-				// A new client must not find the dead connection of an earlier one
+				'grpc.keepalive_timeout_ms': keepaliveTimeoutMs,
+				// A new client must not reuse the dead connection of an earlier one
 				'grpc.use_local_subchannel_pool': 1,
 				'grpc.initial_reconnect_backoff_ms': 100,
 				'grpc.max_reconnect_backoff_ms': 1000,
--- a/packages/host/src/peer/roster.ts
+++ b/packages/host/src/peer/roster.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the platform's lagging list of hosts and leaving endpoints now and
- * then. Efficiency for the hosts, which are judged by their heartbeats alone;
- * "a leaving endpoint gets no new work" rests on how often this reads.
+ * Polls the platform's list of hosts and leaving endpoints, which may be
+ * stale. Hosts: efficiency only, as their state follows from heartbeats.
+ * Endpoints: "a leaving endpoint gets no new work" depends on the poll interval.
  */
 import {type Timer} from '@gatehead/policy/utils/clock';
 import {jitter} from '@gatehead/policy/utils/random';
@@ -9,9 +9,9 @@
 import {type Context} from '../core/context.js';
 import {type PlatformClient} from '../core/platform-client.js';
 
-const intervalSpread = 0.1;
+const intervalJitter = 0.1;
 
-/** The list as it was last read. */
+/** Poller of the platform's list. */
 export class Roster {
 	readonly #context: Context;
 	readonly #platform: PlatformClient;
@@ -26,35 +26,34 @@
 		this.#onRead = onRead;
 	}
 
-	/** Endpoints that the list calls leaving. */
+	/** Endpoints listed as leaving in the last successful read. */
 	get leavingEndpoints(): ReadonlySet<string> {
 		return this.#leavingEndpoints;
 	}
 
-	/** Starts to read. */
+	/** Starts polling. */
 	start(): void {
-		void this.#read();
+		void this.#poll();
 	}
 
-	/** Stops. */
 	stop(): void {
 		this.#abort.abort();
 		this.#timer?.stop();
 	}
 
-	async #read(): Promise<void> {
+	async #poll(): Promise<void> {
 		const {clock, random, settings: {timing: {rosterMs}}} = this.#context;
 		try {
 			const {hosts, leavingEndpoints} = await this.#platform.listHosts(this.#abort.signal);
 			this.#leavingEndpoints = new Set(leavingEndpoints);
 			this.#onRead(hosts);
 		} catch {
-			// The list may be down; heartbeats go on without it
+			// The platform may be unavailable; the last list stays in use
 		}
 
 		if (!this.#abort.signal.aborted) {
-			this.#timer = clock.after(jitter(random, rosterMs, intervalSpread), () => {
-				void this.#read();
+			this.#timer = clock.after(jitter(random, rosterMs, intervalJitter), () => {
+				void this.#poll();
 			});
 		}
 	}
