--- a/packages/host/src/front/caller-front.ts
+++ b/packages/host/src/front/caller-server.ts
@@ -25,7 +25,7 @@
 type Handler = (call: Call) => Promise<void> | void;
 
 /** HTTP server for callers. */
-export class CallerFront {
+export class CallerServer {
 	readonly #parts: FrontParts;
 	readonly #calls: CallParts;
 	readonly #server: Server;
@@ -54,7 +54,7 @@
 	}
 
 	/** Number of requests in progress. */
-	get open(): number {
+	get openRequests(): number {
 		return this.#openRequests;
 	}
 
@@ -69,7 +69,7 @@
 	}
 
 	/** Rejects new requests with `hostStopping` from now on. */
-	refuseNew(): void {
+	rejectNewRequests(): void {
 		this.#isStopping = true;
 	}
 
--- a/packages/host/src/front/service-call.ts
+++ b/packages/host/src/front/service-call.ts
@@ -42,7 +42,7 @@
 	readonly context: Context;
 	readonly agent: Agent;
 	/** Whether a replica accepts new work; checked again immediately before the write of a non-repeatable call. */
-	readonly takesWork: (service: string, replica: string) => boolean;
+	readonly acceptsWork: (service: string, replica: string) => boolean;
 };
 
 /** Returns the replicas that are not leaving in the order to try: those of `hall` first, then all others, each group shuffled. */
@@ -56,7 +56,7 @@
 	let failure = new Failure('endpointsDown', {retryAfterMs});
 	let repeats = 0;
 	for (const replica of orderReplicas(call.service, context.settings.hall, context.random)) {
-		if (!parts.takesWork(call.service.name, replica.name)) {
+		if (!parts.acceptsWork(call.service.name, replica.name)) {
 			continue;
 		}
 
@@ -93,11 +93,11 @@
 	}
 }
 
-async function sendToReplica({agent, takesWork}: CallParts, {id, service, method, path, contentType, body}: ServiceCall, replica: Replica, signal: AbortSignal): Promise<CallOutcome> {
+async function sendToReplica({agent, acceptsWork}: CallParts, {id, service, method, path, contentType, body}: ServiceCall, replica: Replica, signal: AbortSignal): Promise<CallOutcome> {
 	const httpCall: HttpCall = {
 		address: replica.address, method, path, headers: {'content-type': contentType, 'gatehead-request': id}, body, signal,
 	};
-	const response = service.repeatable ? await sendCall(httpCall, agent) : await sendOnce(httpCall, () => takesWork(service.name, replica.name));
+	const response = service.repeatable ? await sendCall(httpCall, agent) : await sendOnce(httpCall, () => acceptsWork(service.name, replica.name));
 	const text = await readText(response, maxResponseBytes);
 	if (!response.complete) {
 		throw new CallError(true, new Error('response was truncated'));
--- a/packages/host/src/host.ts
+++ b/packages/host/src/host.ts
@@ -17,12 +17,12 @@
 import {shutDownGracefully} from './core/graceful-shutdown.js';
 import {PlatformClient} from './core/platform-client.js';
 import {ReadinessCheck} from './core/readiness-check.js';
-import {CallerFront} from './front/caller-front.js';
+import {CallerServer} from './front/caller-server.js';
 import {type FrontParts, type Job} from './front/parts.js';
 import {Keeper} from './keeper/keeper.js';
 import {LeaseClient} from './keeper/lease-client.js';
-import {BundleSpread} from './peer/bundle-spread.js';
-import {Membership, type Voice} from './peer/membership.js';
+import {BundleSync} from './peer/bundle-sync.js';
+import {Membership, type MembershipTransport} from './peer/membership.js';
 import {PeerLinks} from './peer/peer-links.js';
 import {Roster} from './peer/roster.js';
 
@@ -48,10 +48,10 @@
 	readonly #canceller: Canceller;
 	readonly #platformClient: PlatformClient;
 	readonly #bundleWatcher: BundleWatcher;
-	readonly #bundleSpread: BundleSpread;
+	readonly #bundleSpread: BundleSync;
 	readonly #leaseClient: LeaseClient;
 	readonly #readiness: ReadinessCheck;
-	readonly #callerFront: CallerFront;
+	readonly #callerFront: CallerServer;
 	readonly #adminServer: AdminServer;
 	readonly #frontParts: FrontParts;
 	#rings: {readonly sequence: number; readonly rings: HostRings} | undefined;
@@ -76,9 +76,9 @@
 				this.#handleMessage(from, message);
 			},
 			onLost: (host, isRefused) => {
-				this.membership.lost(host, isRefused);
+				this.membership.handleLinkLoss(host, isRefused);
 			},
-			ownRecord: () => this.membership.members.self,
+			localRecord: () => this.membership.members.self,
 			addressOf: host => this.membership.members.recordOf(host)?.peerAddress,
 		});
 		this.keeper = new Keeper({
@@ -95,18 +95,18 @@
 		});
 		this.membership = new Membership({
 			context,
-			voice: this.#makeVoice(send),
-			makeRoster: onRead => new Roster(context, this.#platformClient, onRead),
+			transport: this.#makeVoice(send),
+			createRoster: onRead => new Roster(context, this.#platformClient, onRead),
 			measureLoad: () => this.#measureLoad(),
 			onChange: () => {
 				this.#onMembersChanged();
 			},
-			onLateWake: () => {
-				this.keeper.wakeLate();
+			onPause: () => {
+				this.keeper.resetTimeouts();
 				this.#leaseClient.renew();
 			},
 		}, makeOwnRecord(context));
-		this.#bundleSpread = new BundleSpread({
+		this.#bundleSpread = new BundleSync({
 			context, bundles: this.bundles, send, candidates,
 		});
 		this.#bundleWatcher = new BundleWatcher({
@@ -126,13 +126,13 @@
 				context, client: this.#engineClient, canceller: this.#canceller, leases: this.#leaseClient, findEngine: name => this.#getBundle().engines.find(each => each.name === name),
 			},
 		};
-		this.#callerFront = new CallerFront(this.#frontParts, {context, agent: this.#agent, takesWork: (_service, replica) => !this.#isClosed && !isLeaving(replica)});
+		this.#callerFront = new CallerServer(this.#frontParts, {context, agent: this.#agent, acceptsWork: (_service, replica) => !this.#isClosed && !isLeaving(replica)});
 		this.#adminServer = new AdminServer({
 			context, bundles: this.bundles, membership: this.membership, keeper: this.keeper,
 			isReady: () => this.#readiness.isReady, countInFlight: () => this.#countInFlight(), isConfigurationUnavailable: () => this.#bundleWatcher.isUnavailable,
 		});
 		this.bundles.onAdopted(() => {
-			this.#leaseClient.keepersChanged();
+			this.#leaseClient.handleKeeperChange();
 			this.membership.announceNow();
 		});
 	}
@@ -156,7 +156,7 @@
 		this.membership.members.updateSelf({callerAddress: caller, peerAddress: peer, adminAddress: admin});
 		this.membership.start();
 		for (const seed of settings.seeds) {
-			this.links.greet(seed);
+			this.links.contact(seed);
 		}
 
 		this.#bundleWatcher.start();
@@ -177,7 +177,7 @@
 				this.#onMembersChanged();
 			},
 			refuseNewRequests: () => {
-				this.#callerFront.refuseNew();
+				this.#callerFront.rejectNewRequests();
 			},
 			countInFlight: () => this.#countInFlight(),
 		});
@@ -216,7 +216,7 @@
 		});
 	}
 
-	#makeVoice(send: (host: string, message: PeerMessage) => void): Voice {
+	#makeVoice(send: (host: string, message: PeerMessage) => void): MembershipTransport {
 		const {self, hybrid} = this.context;
 		return {
 			heartbeat: (host, {isAnswer, news}) => {
@@ -231,8 +231,8 @@
 			hello: host => {
 				send(host, {kind: 'hello', from: self, record: this.membership.members.self});
 			},
-			renew: host => {
-				this.links.renew(host);
+			resetLink: host => {
+				this.links.resetLink(host);
 			},
 		};
 	}
@@ -248,11 +248,11 @@
 	}
 
 	#countInFlight(): number {
-		return this.#callerFront.open + this.#canceller.countAwaited();
+		return this.#callerFront.openRequests + this.#canceller.countAwaited();
 	}
 
 	#measureLoad(): number {
-		return Math.min(1, this.#callerFront.open / this.context.settings.limits.requests);
+		return Math.min(1, this.#callerFront.openRequests / this.context.settings.limits.requests);
 	}
 
 	/** Hosts that may keep cells: live hosts with a known incarnation, or all reachable hosts if there are none. */
@@ -263,8 +263,8 @@
 	}
 
 	#onMembersChanged(): void {
-		this.keeper.review();
-		this.#leaseClient.keepersChanged();
+		this.keeper.updateAssignments();
+		this.#leaseClient.handleKeeperChange();
 	}
 
 	/** Asks neighbours for the bundle when an engine has accepted a fence above the highest one known. */
@@ -274,36 +274,36 @@
 		}
 
 		for (const host of this.membership.members.neighbours()) {
-			this.#bundleSpread.ask(host);
+			this.#bundleSpread.requestBundle(host);
 		}
 	}
 
 	#handleMessage(from: Owner, message: PeerMessage): void {
 		switch (message.kind) {
 			case 'hello': {
-				this.membership.hello(message.record);
+				this.membership.handleHello(message.record);
 				return;
 			}
 
 			case 'doubt': {
-				this.membership.doubt(from, message.record);
+				this.membership.handleDoubt(from, message.record);
 				return;
 			}
 
 			case 'heartbeat': {
 				this.context.hybrid.receive(message.clock);
-				this.membership.heartbeat(from, message);
-				this.#bundleSpread.heartbeat(from.host, message);
+				this.membership.handleHeartbeat(from, message);
+				this.#bundleSpread.handleHeartbeat(from.host, message);
 				return;
 			}
 
 			case 'bundleWanted': {
-				this.#bundleSpread.give(from.host, message);
+				this.#bundleSpread.sendBundle(from.host, message);
 				return;
 			}
 
 			case 'bundle': {
-				this.#bundleSpread.take(message);
+				this.#bundleSpread.handleBundle(message);
 				return;
 			}
 
@@ -311,7 +311,7 @@
 			case 'decodeGrant':
 			case 'refusal':
 			case 'notKeeper': {
-				this.#leaseClient.hear(message);
+				this.#leaseClient.handleMessage(message);
 				return;
 			}
 
@@ -322,7 +322,7 @@
 			case 'bounced':
 			case 'release':
 			case 'claims': {
-				this.keeper.hear(from.host, message);
+				this.keeper.handleMessage(from.host, message);
 			}
 		}
 	}
--- a/packages/host/src/keeper/cell-manager.ts
+++ b/packages/host/src/keeper/cell-manager.ts
@@ -122,7 +122,7 @@
 	}
 
 	/** Handles a lease holder's message. */
-	receive(from: string, message: HolderMessage): void {
+	handleMessage(from: string, message: HolderMessage): void {
 		const now = this.#parts.context.clock.now();
 		this.#dispatch(from, message, now);
 		this.#schedule();
--- a/packages/host/src/keeper/keeper.ts
+++ b/packages/host/src/keeper/keeper.ts
@@ -47,7 +47,7 @@
 		});
 		bundles.onAdopted(inForce => {
 			this.cells = deriveCells(inForce.bundle);
-			this.review();
+			this.updateAssignments();
 		});
 	}
 
@@ -89,7 +89,7 @@
 	}
 
 	/** Starts managing cells newly assigned to this host, and stops managing those assigned elsewhere. */
-	review(): void {
+	updateAssignments(): void {
 		const {inForce} = this.#parts.bundles;
 		if (inForce === undefined) {
 			return;
@@ -111,10 +111,10 @@
 	}
 
 	/** Handles a lease holder's message; answers `notKeeper` to a request for a cell kept elsewhere. */
-	hear(from: string, message: HolderMessage): void {
+	handleMessage(from: string, message: HolderMessage): void {
 		const manager = this.#managers.get(message.cell);
 		if (manager !== undefined) {
-			manager.receive(from, message);
+			manager.handleMessage(from, message);
 			return;
 		}
 
@@ -127,7 +127,7 @@
 	}
 
 	/** Restarts the timeouts of all cells, after a pause of this process. */
-	wakeLate(): void {
+	resetTimeouts(): void {
 		for (const cell of this.#managers.values()) {
 			cell.resetTimeouts();
 		}
--- a/packages/host/src/keeper/lease-client.ts
+++ b/packages/host/src/keeper/lease-client.ts
@@ -51,7 +51,7 @@
 export class LeaseClient implements LeaseProvider {
 	readonly #parts: LeaseClientParts;
 	readonly #leases = new Map<string, ClientLease>();
-	/** Keeper of each cell as of the last `keepersChanged`. */
+	/** Keeper of each cell as of the last `handleKeeperChange`. */
 	readonly #keepers = new Map<string, string>();
 	#timer: Timer | undefined;
 	#isClosed = false;
@@ -132,7 +132,7 @@
 	}
 
 	/** Handles a keeper's response; ignored if its lease is not waiting for one. */
-	hear(message: PeerMessageOf<'prefillGrant' | 'decodeGrant' | 'refusal' | 'notKeeper'>): void {
+	handleMessage(message: PeerMessageOf<'prefillGrant' | 'decodeGrant' | 'refusal' | 'notKeeper'>): void {
 		const lease = this.#leases.get(leaseKey(message));
 		if (lease?.pending === undefined) {
 			return;
@@ -194,7 +194,7 @@
 	}
 
 	/** Sends claims and unanswered messages to the new keeper of each cell whose keeper changed. */
-	keepersChanged(): void {
+	handleKeeperChange(): void {
 		for (const cell of this.#parts.cells()) {
 			const keeper = this.#keeperOf(cell);
 			if (keeper !== undefined && this.#keepers.get(cell.name) !== keeper) {
--- a/packages/host/src/peer/bundle-spread.ts
+++ b/packages/host/src/peer/bundle-sync.ts
@@ -11,8 +11,8 @@
 /** Number of hosts of a hall that watch the configuration service. */
 const watchersPerHall = 2;
 
-/** Dependencies of `BundleSpread`. */
-export type BundleSpreadParts = {
+/** Dependencies of `BundleSync`. */
+export type BundleSyncParts = {
 	readonly context: Context;
 	readonly bundles: BundleStore;
 	readonly send: (host: string, message: PeerMessage) => void;
@@ -20,12 +20,12 @@
 };
 
 /** Replication of bundles to and from this host's peers. */
-export class BundleSpread {
-	readonly #parts: BundleSpreadParts;
+export class BundleSync {
+	readonly #parts: BundleSyncParts;
 	/** Sections of the bundle in force by digest; peers send only the others. */
 	#sections: Readonly<Record<string, string>> = {};
 
-	constructor(parts: BundleSpreadParts) {
+	constructor(parts: BundleSyncParts) {
 		this.#parts = parts;
 		parts.bundles.onAdopted(({signed}) => {
 			this.#sections = signed.sections;
@@ -40,21 +40,21 @@
 	}
 
 	/** Requests a peer's bundle if its version is newer than the local one's or, for equal versions, its manifest digest is greater. */
-	heartbeat(from: string, {bundleVersion, manifestDigest}: PeerMessageOf<'heartbeat'>): void {
+	handleHeartbeat(from: string, {bundleVersion, manifestDigest}: PeerMessageOf<'heartbeat'>): void {
 		const {bundles} = this.#parts;
 		const isOther = bundleVersion === bundles.version && manifestDigest > (bundles.inForce?.manifestDigest ?? '');
 		if (bundleVersion > bundles.version || (isOther && bundleVersion > 0)) {
-			this.ask(from);
+			this.requestBundle(from);
 		}
 	}
 
 	/** Requests a host's bundle. */
-	ask(host: string): void {
+	requestBundle(host: string): void {
 		this.#parts.send(host, {kind: 'bundleWanted', have: Object.keys(this.#sections)});
 	}
 
 	/** Sends the bundle in force, without the sections that the peer has. */
-	give(to: string, {have}: PeerMessageOf<'bundleWanted'>): void {
+	sendBundle(to: string, {have}: PeerMessageOf<'bundleWanted'>): void {
 		const {inForce} = this.#parts.bundles;
 		if (inForce === undefined) {
 			return;
@@ -66,7 +66,7 @@
 	}
 
 	/** Offers a peer's bundle to the bundle store. */
-	take({signed, sections}: PeerMessageOf<'bundle'>): void {
+	handleBundle({signed, sections}: PeerMessageOf<'bundle'>): void {
 		this.#parts.bundles.offer({...signed, sections: {...this.#sections, ...sections}});
 	}
 }
--- a/packages/host/src/peer/membership.ts
+++ b/packages/host/src/peer/membership.ts
@@ -33,27 +33,27 @@
 };
 
 /** Sends messages to other hosts, without delivery guarantees. */
-export type Voice = {
+export type MembershipTransport = {
 	heartbeat(host: string, beat: Heartbeat): void;
 	/** Sends a host the record that says it is suspect or dead, for it to refute. */
 	doubt(host: string, record: MemberRecord): void;
 	hello(host: string): void;
 	/** Closes the stream to a peer; the next message reconnects. */
-	renew(host: string): void;
+	resetLink(host: string): void;
 };
 
 /** Dependencies of `Membership`. */
 export type MembershipParts = {
 	readonly context: PeerContext;
-	readonly voice: Voice;
+	readonly transport: MembershipTransport;
 	/** Creates the reader of the platform's list of hosts; absent if there is no such list. */
-	readonly makeRoster?: (onRead: (hosts: readonly ListedHost[]) => void) => Roster;
+	readonly createRoster?: (onRead: (hosts: readonly ListedHost[]) => void) => Roster;
 	/** Load of this host, from 0 to 1. */
 	readonly measureLoad: () => number;
 	/** Called after a change of any member record. */
 	readonly onChange: () => void;
 	/** Called when a pause of this process is detected. */
-	readonly onLateWake: () => void;
+	readonly onPause: () => void;
 };
 
 /** Membership protocol of one host. */
@@ -74,7 +74,7 @@
 		this.#parts = parts;
 		this.#stateTracker = new HostStateTracker(parts.context);
 		this.members = new Members(self);
-		this.#roster = parts.makeRoster?.(hosts => {
+		this.#roster = parts.createRoster?.(hosts => {
 			this.#applyRoster(hosts);
 		});
 	}
@@ -116,24 +116,24 @@
 	}
 
 	/** Whether all chosen neighbours have been silent for more than `silenceMs` milliseconds: this host may be partitioned from its peers. */
-	hearsNobody(silenceMs: number): boolean {
+	isPartitioned(silenceMs: number): boolean {
 		const {size} = this.#neighbourhood.chosen;
 		return size > 0 && this.listSilent(silenceMs).length === size;
 	}
 
 	/** Handles the first message of a peer. */
-	hello(record: MemberRecord): void {
+	handleHello(record: MemberRecord): void {
 		this.#merge([record]);
 	}
 
 	/** Handles a peer's record of this host as suspect or dead, and refutes it with the local record. */
-	doubt(from: Owner, record: MemberRecord): void {
+	handleDoubt(from: Owner, record: MemberRecord): void {
 		this.members.merge(record);
-		this.#parts.voice.hello(from.host);
+		this.#parts.transport.hello(from.host);
 	}
 
 	/** Handles a heartbeat; answers it unless it is an answer itself or comes from a chosen neighbour. */
-	heartbeat(from: Owner, {news, isAnswer}: Heartbeat): void {
+	handleHeartbeat(from: Owner, {news, isAnswer}: Heartbeat): void {
 		const now = this.#parts.context.clock.now();
 		this.#merge(news);
 		this.#challengeIfGone(from);
@@ -151,7 +151,7 @@
 	}
 
 	/** Handles a broken link; a refused connection means that the peer's process is not running. */
-	lost(host: string, isRefused: boolean): void {
+	handleLinkLoss(host: string, isRefused: boolean): void {
 		const neighbour = this.#neighbourhood.handleLinkLoss(host);
 		if (isRefused) {
 			this.#markState(host, 'dead');
@@ -205,7 +205,7 @@
 
 	/** Detects a pause of this process. The silence of neighbours during a pause proves nothing, so all suspicion starts over. */
 	#detectPause(now: number): void {
-		const {context, onLateWake} = this.#parts;
+		const {context, onPause} = this.#parts;
 		const {tickMs, lateWakeMs} = context.settings.timing;
 		const late = now - this.#lastTickAt - tickMs;
 		this.#lastTickAt = now;
@@ -219,7 +219,7 @@
 		context.log('lateWake', {lateMs: Math.round(late)});
 		context.counters.count('lateWakes');
 		context.timeline.record({kind: 'lateWake', detail: `${Math.round(late)} ms`});
-		onLateWake();
+		onPause();
 	}
 
 	#updateLoad(now: number): void {
@@ -258,7 +258,7 @@
 		const host = pick(random, gone)?.host;
 		if (host !== undefined) {
 			// The link may be dead while the host is alive
-			this.#parts.voice.renew(host);
+			this.#parts.transport.resetLink(host);
 			this.#send(host, createNeighbour(0));
 		}
 	}
@@ -287,12 +287,12 @@
 
 	/** Reconnects to neighbours whose heartbeat is overdue, as a connection may die without a reset, and resends all member records. */
 	#reconnectOverdue(sentAt: number, wakeAt: number): void {
-		const {context: {clock, settings: {timing: {tickMs}}}, voice} = this.#parts;
+		const {context: {clock, settings: {timing: {tickMs}}}, transport} = this.#parts;
 		const isLate = clock.now() - wakeAt > heartbeatTimeoutMs;
 		const overdue = this.#neighbourhood.listOverdue({sentAt, dueAt: wakeAt - heartbeatTimeoutMs, heartbeatMs: (1 + tickJitter) * tickMs});
 		// If this process is late itself, answers may be waiting unread
 		for (const host of isLate ? [] : overdue) {
-			voice.renew(host);
+			transport.resetLink(host);
 			const neighbour = this.#neighbourhood.handleLinkLoss(host);
 			if (neighbour !== undefined) {
 				this.#send(host, neighbour);
@@ -303,14 +303,14 @@
 	#send(host: string, neighbour: Neighbour, isAnswer = false): void {
 		const news = this.members.listChangedAfter(neighbour.sentSequence);
 		neighbour.sentSequence = this.members.sequence;
-		this.#parts.voice.heartbeat(host, {isAnswer, news});
+		this.#parts.transport.heartbeat(host, {isAnswer, news});
 	}
 
 	/** Tells a sender that is recorded as suspect or dead, so that it refutes the record. */
 	#challengeIfGone({host}: Owner): void {
 		const known = this.members.recordOf(host);
 		if (known !== undefined && (known.state === 'dead' || known.state === 'suspect')) {
-			this.#parts.voice.doubt(host, known);
+			this.#parts.transport.doubt(host, known);
 		}
 	}
 
--- a/packages/host/src/peer/peer-links.test.ts
+++ b/packages/host/src/peer/peer-links.test.ts
@@ -34,7 +34,7 @@
 			onMessage(from);
 		},
 		onLost: ignore,
-		ownRecord: () => ({
+		localRecord: () => ({
 			host, hall: 'h', region: 'r', incarnation: 1, counter: 0, state: 'alive', callerAddress: peer, peerAddress: peer, adminAddress: peer, load: 0,
 		}),
 		addressOf: () => undefined,
@@ -54,7 +54,7 @@
 		const bound = silent.address();
 		const address = `127.0.0.1:${typeof bound === 'object' && bound !== null ? bound.port : 0}`;
 		const caller = makeLinks('caller', '127.0.0.1:0', ignore);
-		caller.greet(address);
+		caller.contact(address);
 		await once(silent, 'connection');
 		// Stops accepting; the accepted connection stays open and silent
 		silent.close();
@@ -67,7 +67,7 @@
 				resolve();
 			});
 			void late.listen().then(() => {
-				caller.greet(address);
+				caller.contact(address);
 			});
 		});
 		await met;
--- a/packages/host/src/peer/peer-links.ts
+++ b/packages/host/src/peer/peer-links.ts
@@ -19,7 +19,7 @@
 const keepaliveMs = 10_000;
 /** Time in milliseconds to wait for a keepalive acknowledgement; far above the latency between halls. An idle link is closed if none arrives. */
 const keepaliveTimeoutMs = 1000;
-/** Minimum age in milliseconds at which `renew` closes a link, so that a new link has time to receive an answer. */
+/** Minimum age in milliseconds at which `resetLink` closes a link, so that a new link has time to receive an answer. */
 const minLinkAgeMs = 1000;
 const linkPath = '/gatehead.Peer/Link';
 
@@ -54,7 +54,7 @@
 	/** Called when a link breaks; `isRefused` if the peer's address refused the connection. */
 	onLost(host: string, isRefused: boolean): void;
 	/** This host's member record, sent first on every link. */
-	ownRecord(): Hello['record'];
+	localRecord(): Hello['record'];
 	/** Peer address of a host, if known. */
 	addressOf(host: string): string | undefined;
 };
@@ -140,14 +140,14 @@
 	}
 
 	/** Opens a link to an address whose host is not known yet, such as a seed. */
-	greet(address: string): void {
+	contact(address: string): void {
 		this.#dropConnectingClient(address);
 		const link = this.#open('', address);
 		this.#flush(link);
 	}
 
 	/** Closes a link on which an answer is overdue, unless it is newer than `minLinkAgeMs`; the next message opens a new connection. */
-	renew(host: string): void {
+	resetLink(host: string): void {
 		const {clock, counters, log} = this.#context;
 		const link = this.#links.get(host);
 		if (this.#isClosed || (link !== undefined && clock.now() - link.openedAt < minLinkAgeMs)) {
@@ -233,7 +233,7 @@
 	}
 
 	#hello(): Hello {
-		return {kind: 'hello', from: this.#context.self, record: this.#listener.ownRecord()};
+		return {kind: 'hello', from: this.#context.self, record: this.#listener.localRecord()};
 	}
 
 	/** Receives batches; the first message identifies the sender. */
--- a/packages/relay/src/peer/config-propagation.test.ts
+++ b/packages/relay/src/peer/config-propagation.test.ts
@@ -89,11 +89,11 @@
 		});
 	}
 
-	greet(address: string): void {
-		this.send(address, {kind: 'hello', from: {host: this.#host, incarnation: 1}, record: this.#listener.ownRecord()});
+	contact(address: string): void {
+		this.send(address, {kind: 'hello', from: {host: this.#host, incarnation: 1}, record: this.#listener.localRecord()});
 	}
 
-	renew(host: string): void {
+	resetLink(host: string): void {
 		this.#connections.delete(host);
 	}
 
--- a/packages/relay/src/peer/fleet-parts.ts
+++ b/packages/relay/src/peer/fleet-parts.ts
@@ -7,7 +7,7 @@
 import {type Endpoints} from '../upstream/endpoints.js';
 
 /** Transport to the other hosts. */
-export type HostLinks = Pick<PeerLinks<RelayMessage>, 'listen' | 'send' | 'greet' | 'renew' | 'close'>;
+export type HostLinks = Pick<PeerLinks<RelayMessage>, 'listen' | 'send' | 'contact' | 'resetLink' | 'close'>;
 
 /** Dependencies of `Fleet`. */
 export type FleetParts = {
--- a/packages/relay/src/peer/fleet.ts
+++ b/packages/relay/src/peer/fleet.ts
@@ -3,7 +3,7 @@
  * dispatch of messages about the configuration, endpoints, load, quotas and
  * rate limits. A host without peers keeps serving requests.
  */
-import {Membership, type Voice} from '@gatehead/host/peer/membership';
+import {Membership, type MembershipTransport} from '@gatehead/host/peer/membership';
 import {PeerLinks} from '@gatehead/host/peer/peer-links';
 import {
 	isDirectoryReader, isReaderSilent, listConfirmers, readerRankKey, summarizeReading,
@@ -62,14 +62,14 @@
 	readonly #knownHosts: KnownHosts;
 	readonly #handlers: MessageHandlers = {
 		hello: (_from, {record}) => {
-			this.membership.hello(record);
+			this.membership.handleHello(record);
 		},
 		doubt: (from, {record}) => {
-			this.membership.doubt(from, record);
+			this.membership.handleDoubt(from, record);
 		},
 		heartbeat: (from, message) => {
 			this.#parts.context.hybrid.receive(message.clock);
-			this.membership.heartbeat(from, message);
+			this.membership.handleHeartbeat(from, message);
 			this.#parts.guard.mergeReports(message.heldContents);
 			this.#parts.endpoints.receiveDrains(message.draining, from.host);
 			this.#directorySync.receiveHeartbeat(from.host, message);
@@ -138,9 +138,9 @@
 				this.#dispatch(from, message);
 			},
 			onLost: (host, isRefused) => {
-				this.membership.lost(host, isRefused);
+				this.membership.handleLinkLoss(host, isRefused);
 			},
-			ownRecord: () => this.membership.members.self,
+			localRecord: () => this.membership.members.self,
 			addressOf: host => this.membership.members.recordOf(host)?.peerAddress,
 		});
 		this.#seedContact = new SeedContact({
@@ -148,7 +148,7 @@
 			seeds: context.settings.seeds,
 			listReachable: () => this.membership.members.listReachable().map(({peerAddress}) => peerAddress),
 			greet: address => {
-				this.#links.greet(address);
+				this.#links.contact(address);
 			},
 		});
 		const send = (host: string, message: RelayMessage) => {
@@ -157,7 +157,7 @@
 
 		this.load = new LoadGossip({context, endpoints: parts.endpoints, send});
 		const renew = (host: string) => {
-			this.#links.renew(host);
+			this.#links.resetLink(host);
 		};
 
 		const access = {
@@ -202,7 +202,7 @@
 		});
 		this.membership = new Membership({
 			context,
-			voice: this.#makeVoice(),
+			transport: this.#makeVoice(),
 			measureLoad: parts.measureLoad,
 			onChange: () => {
 				context.metrics.set('hosts', this.countHosts());
@@ -210,7 +210,7 @@
 				this.watcherFailover.handleMembershipChange();
 				this.#scheduleAnnounce();
 			},
-			onLateWake: () => {
+			onPause: () => {
 				this.changedAt = context.clock.now();
 				this.#seedContact.greet();
 				// After a long pause the watch's connection may be dead and endpoint state outdated
@@ -230,7 +230,7 @@
 		return this.#directorySync.hasIncomparablePeer
 			|| isDirectoryReader(this.membership.members.self, alive)
 			|| isReaderSilent(new Set(this.membership.listSilent(readerSilenceMs)), alive)
-			|| this.membership.hearsNobody(readerSilenceMs)
+			|| this.membership.isPartitioned(readerSilenceMs)
 			|| this.watcherFailover.isTakingOver;
 	}
 
@@ -336,7 +336,7 @@
 		}
 	}
 
-	#makeVoice(): Voice {
+	#makeVoice(): MembershipTransport {
 		const {context, endpoints, guard, routing, watch} = this.#parts;
 		return {
 			heartbeat: (host, {isAnswer, news}) => {
@@ -360,8 +360,8 @@
 			hello: host => {
 				this.#links.send(host, {kind: 'hello', from: context.self, record: this.membership.members.self});
 			},
-			renew: host => {
-				this.#links.renew(host);
+			resetLink: host => {
+				this.#links.resetLink(host);
 			},
 		};
 	}
--- a/packages/standin/src/slopes/messages.ts
+++ b/packages/standin/src/slopes/messages.ts
@@ -44,7 +44,7 @@
 	const [left, right] = [makeHost('left'), makeHost('right')];
 	let address = '';
 	const listener = (context: Context) => ({
-		onMessage: ignore, onLost: ignore, ownRecord: () => recordOf(context, ''), addressOf: () => address,
+		onMessage: ignore, onLost: ignore, localRecord: () => recordOf(context, ''), addressOf: () => address,
 	});
 	const links = new PeerLinks(left, peerBatch, listener(left));
 	const other = new PeerLinks(right, peerBatch, listener(right));
