--- a/packages/host/src/front/answer-writer.test.ts
+++ b/packages/host/src/front/answer-writer.test.ts
@@ -12,26 +12,26 @@
 type Case = {
 	readonly name: string;
 	/** Whether `write` reports that the socket accepts more data. */
-	readonly isReading: boolean;
+	readonly acceptsWrites: boolean;
 	/** Delay before the `drain` event; undefined: the socket never drains. */
-	readonly drainsAfterMs: number | undefined;
-	readonly isGone: boolean;
+	readonly drainDelayMs: number | undefined;
+	readonly isClosed: boolean;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'keeps the connection of a caller that reads', isReading: true, drainsAfterMs: undefined, isGone: false,
+		name: 'keeps the connection of a caller that reads', acceptsWrites: true, drainDelayMs: undefined, isClosed: false,
 	},
 	{
-		name: 'closes the connection of a caller that stops reading for the stall timeout', isReading: false, drainsAfterMs: undefined, isGone: true,
+		name: 'closes the connection of a caller that stops reading for the stall timeout', acceptsWrites: false, drainDelayMs: undefined, isClosed: true,
 	},
 	{
-		name: 'keeps the connection of a caller that resumes reading before the timeout', isReading: false, drainsAfterMs: stallMs / 2, isGone: false,
+		name: 'keeps the connection of a caller that resumes reading before the timeout', acceptsWrites: false, drainDelayMs: stallMs / 2, isClosed: false,
 	},
 ];
 
-/** Opens a response on a real connection; `write` returns false where `isReading` is false. */
-async function openResponse(isReading: boolean): Promise<{readonly response: ServerResponse; readonly close: () => void}> {
+/** Opens a response on a real connection; `write` returns false where `acceptsWrites` is false. */
+async function openResponse(acceptsWrites: boolean): Promise<{readonly response: ServerResponse; readonly close: () => void}> {
 	const server = createServer();
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
@@ -42,7 +42,7 @@
 	});
 	call.end();
 	const [, response] = await once(server, 'request') as [unknown, ServerResponse]; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the event's own arguments
-	if (!isReading) {
+	if (!acceptsWrites) {
 		response.write = () => false;
 	}
 
@@ -56,28 +56,28 @@
 }
 
 describe('AnswerWriter', () => {
-	for (const {name, isReading, drainsAfterMs, isGone} of cases) {
+	for (const {name, acceptsWrites, drainDelayMs, isClosed} of cases) {
 		it(name, async () => {
 			const clock = new ManualClock();
-			const {response, close} = await openResponse(isReading);
-			let isUnread = false;
+			const {response, close} = await openResponse(acceptsWrites);
+			let wasAbandoned = false;
 			const answer = new TokenStream(() => {
-				isUnread = true;
+				wasAbandoned = true;
 			});
 			new AnswerWriter(response, {
 				request: 'r', model: 'm', dialect: 'completion', isStream: true, runId: '', firstToken: 0,
 			}, answer, clock, stallMs).start();
 			answer.append(0, 'word');
-			if (drainsAfterMs !== undefined) {
-				clock.advance(drainsAfterMs);
+			if (drainDelayMs !== undefined) {
+				clock.advance(drainDelayMs);
 				response.emit('drain');
 			}
 
-			const closed = isGone ? once(response, 'close') : undefined;
+			const closed = isClosed ? once(response, 'close') : undefined;
 			clock.advance(2 * stallMs);
 			await closed;
-			expect(isUnread).toEqual(isGone);
-			expect(response.destroyed).toEqual(isGone);
+			expect(wasAbandoned).toEqual(isClosed);
+			expect(response.destroyed).toEqual(isClosed);
 			close();
 		});
 	}
--- a/packages/host/src/front/caller-server.ts
+++ b/packages/host/src/front/caller-server.ts
@@ -16,7 +16,7 @@
 import {handleLookup} from './lookups.js';
 import {type Call, type FrontParts} from './parts.js';
 import {sendFailure} from './reply.js';
-import {type CallParts} from './service-call.js';
+import {type ServiceCallParts} from './service-call.js';
 import {handleServiceCall} from './services.js';
 
 const base36 = 36;
@@ -27,7 +27,7 @@
 /** HTTP server for callers. */
 export class CallerServer {
 	readonly #parts: FrontParts;
-	readonly #calls: CallParts;
+	readonly #calls: ServiceCallParts;
 	readonly #server: Server;
 	readonly #connections: CallerConnections;
 	readonly #routes: Readonly<Record<string, Handler>>;
@@ -36,7 +36,7 @@
 	#openRequests = 0;
 	#isStopping = false;
 
-	constructor(parts: FrontParts, calls: CallParts) {
+	constructor(parts: FrontParts, calls: ServiceCallParts) {
 		this.#parts = parts;
 		this.#calls = calls;
 		this.#routes = this.#createRoutes();
@@ -157,7 +157,7 @@
 	}
 }
 
-/** Errors that can be raised before the ledger is checked for an earlier attempt under the same key. */
+/** Errors raised before the ledger is checked whose cause lies in this host or its bundle, so that an earlier attempt under the same key may have passed. */
 const codesBeforeKeyLookup: ReadonlySet<Code> = new Set(['notReady', 'tooManyConnections', 'serviceUnknown', 'callerUnknown']);
 
 function hasKey({headers}: IncomingMessage): boolean {
--- a/packages/host/src/front/service-call.ts
+++ b/packages/host/src/front/service-call.ts
@@ -38,7 +38,7 @@
 };
 
 /** Dependencies of a call. */
-export type CallParts = {
+export type ServiceCallParts = {
 	readonly context: Context;
 	readonly agent: Agent;
 	/** Whether a replica accepts new work; checked again immediately before the write of a non-repeatable call. */
@@ -51,10 +51,10 @@
 }
 
 /** Calls replicas in turn until one responds or the call may not be retried. Never rejects. */
-export async function callService(parts: CallParts, call: ServiceCall): Promise<CallOutcome> {
+export async function callService(parts: ServiceCallParts, call: ServiceCall): Promise<CallOutcome> {
 	const {context} = parts;
 	let failure = new Failure('endpointsDown', {retryAfterMs});
-	let repeats = 0;
+	let uncertainFailures = 0;
 	for (const replica of orderReplicas(call.service, context.settings.hall, context.random)) {
 		if (!parts.acceptsWork(call.service.name, replica.name)) {
 			continue;
@@ -67,8 +67,8 @@
 
 		failure = outcome.failure;
 		if (failure.ran !== 'no') {
-			repeats += 1;
-			if (!call.service.repeatable || repeats > maxUncertainRetries) {
+			uncertainFailures += 1;
+			if (!call.service.repeatable || uncertainFailures > maxUncertainRetries) {
 				return outcome;
 			}
 		}
@@ -77,7 +77,7 @@
 	return {kind: 'failed', failure};
 }
 
-async function callReplica(parts: CallParts, call: ServiceCall, replica: Replica): Promise<CallOutcome> {
+async function callReplica(parts: ServiceCallParts, call: ServiceCall, replica: Replica): Promise<CallOutcome> {
 	const {context: {clock, counters, timeline}} = parts;
 	const {id, service} = call;
 	const watch = new StallTimer(clock, service.timeoutMs, new AbortController().signal);
@@ -93,7 +93,7 @@
 	}
 }
 
-async function sendToReplica({agent, acceptsWork}: CallParts, {id, service, method, path, contentType, body}: ServiceCall, replica: Replica, signal: AbortSignal): Promise<CallOutcome> {
+async function sendToReplica({agent, acceptsWork}: ServiceCallParts, {id, service, method, path, contentType, body}: ServiceCall, replica: Replica, signal: AbortSignal): Promise<CallOutcome> {
 	const httpCall: HttpCall = {
 		address: replica.address, method, path, headers: {'content-type': contentType, 'gatehead-request': id}, body, signal,
 	};
--- a/packages/host/src/front/services.ts
+++ b/packages/host/src/front/services.ts
@@ -15,7 +15,7 @@
 import {type Call, type FrontParts, type Job} from './parts.js';
 import {sendFailure} from './reply.js';
 import {
-	callService, type CallOutcome, type CallParts, type ServiceCall,
+	callService, type CallOutcome, type ServiceCallParts, type ServiceCall,
 } from './service-call.js';
 
 function findService({inForce, url}: Call): Service {
@@ -36,7 +36,7 @@
 }
 
 /** Handles a call to a plain service; errors are thrown as `Failure`. */
-export async function handleServiceCall(parts: FrontParts, calls: CallParts, call: Call, createRequestId: () => string): Promise<void> {
+export async function handleServiceCall(parts: FrontParts, calls: ServiceCallParts, call: Call, createRequestId: () => string): Promise<void> {
 	const service = findService(call);
 	const {request, caller, url} = call;
 	const body = await readBody(request, parts.context.settings.limits);
@@ -68,7 +68,7 @@
 }
 
 /** Runs a keyed call once; repeated calls under the key wait for the same outcome. */
-async function callOnce(parts: FrontParts, calls: CallParts, call: ServiceCall, {id, ticket}: IdempotencyKey): Promise<CallOutcome> {
+async function callOnce(parts: FrontParts, calls: ServiceCallParts, call: ServiceCall, {id, ticket}: IdempotencyKey): Promise<CallOutcome> {
 	const {ledger, context} = parts;
 	const {entry: {job}, isRepeat} = enterLedger(parts, {
 		id,
--- a/packages/host/src/keeper/lease-client.ts
+++ b/packages/host/src/keeper/lease-client.ts
@@ -96,9 +96,9 @@
 	async acquireDecode(leaseName: LeaseId, cachedTokens: number, holdMs: number, signal: AbortSignal): Promise<string> {
 		const lease = this.#leases.get(leaseKey(leaseName)) ?? fail('overloaded', {retryAfterMs});
 		lease.stage = 'ready';
-		const lapsesAt = this.#parts.context.clock.now() + holdMs;
+		const holdEndsAt = this.#parts.context.clock.now() + holdMs;
 		return this.#waitForGrant(lease, signal, () => ({
-			kind: 'prefilled', cell: lease.cell.name, ...leaseName, cachedTokens, holdMs: Math.max(0, lapsesAt - this.#parts.context.clock.now()),
+			kind: 'prefilled', cell: lease.cell.name, ...leaseName, cachedTokens, holdMs: Math.max(0, holdEndsAt - this.#parts.context.clock.now()),
 		}));
 	}
 
@@ -224,9 +224,9 @@
 		const cells = this.#parts.cells().filter(each => each.model === model);
 		const {hall} = this.#parts.context.settings;
 		// Leases of a cell that this host keeps need no network messages
-		const own = cells.find(each => this.#keeperOf(each) === host);
-		if (own !== undefined) {
-			return own;
+		const keptHere = cells.find(each => this.#keeperOf(each) === host);
+		if (keptHere !== undefined) {
+			return keptHere;
 		}
 
 		const localCells = cells.filter(each => each.halls.includes(hall));
--- a/packages/host/src/keeper/orders.ts
+++ b/packages/host/src/keeper/orders.ts
@@ -14,7 +14,7 @@
 const orderTimeoutMs = 2000;
 
 /** Returns the order that configures an engine as the bundle specifies. */
-export function orderOf({models, version}: Bundle, {role, model, adapters}: Engine, owner: Owner): EngineOrder {
+export function createOrder({models, version}: Bundle, {role, model, adapters}: Engine, owner: Owner): EngineOrder {
 	const served = models.find(each => each.name === model);
 	return {
 		fence: version, role, model: {name: model, version: served?.version ?? '', adapters: [...adapters]}, owner,
@@ -22,7 +22,7 @@
 }
 
 /** Whether a report shows that the engine has applied the order. */
-export function isObeyed({fence, role, model}: EngineOrder, report: EngineReport): boolean {
+export function isApplied({fence, role, model}: EngineOrder, report: EngineReport): boolean {
 	const served = report.models.find(each => each.name === model.name);
 	const hasAdapters = served !== undefined && model.adapters.every(each => served.adapters.includes(each));
 	return report.fence >= fence && report.role === role && served?.version === model.version && hasAdapters;
@@ -61,8 +61,8 @@
 			return;
 		}
 
-		const order = orderOf(inForce.bundle, engine, context.self);
-		if (!isObeyed(order, report) && !this.#inFlight.has(engine.name)) {
+		const order = createOrder(inForce.bundle, engine, context.self);
+		if (!isApplied(order, report) && !this.#inFlight.has(engine.name)) {
 			void this.#send(engine, order);
 		}
 	}
--- a/packages/host/src/peer/membership.ts
+++ b/packages/host/src/peer/membership.ts
@@ -115,7 +115,7 @@
 		return this.#neighbourhood.listSilent(this.#parts.context.clock.now(), silenceMs);
 	}
 
-	/** Whether all chosen neighbours have been silent for more than `silenceMs` milliseconds: this host may be partitioned from its peers. */
+	/** Whether all chosen neighbours have been silent for more than `silenceMs` milliseconds, and there is at least one: this host may be partitioned from its peers. */
 	isPartitioned(silenceMs: number): boolean {
 		const {size} = this.#neighbourhood.chosen;
 		return size > 0 && this.listSilent(silenceMs).length === size;
--- a/packages/host/src/peer/peer-links.test.ts
+++ b/packages/host/src/peer/peer-links.test.ts
@@ -42,10 +42,10 @@
 }
 
 /** Test timeout in milliseconds, for a link that is never established. */
-const hangMs = 60_000;
+const testTimeoutMs = 60_000;
 
 describe('PeerLinks', () => {
-	it('opens a new connection when an address is contacted again while the first one hangs', {timeout: hangMs}, async () => {
+	it('who is greeted again while the first connection hangs gets a new one', {timeout: testTimeoutMs}, async () => {
 		const accepted: Socket[] = [];
 		const silent = createServer(socket => {
 			accepted.push(socket);
@@ -59,19 +59,19 @@
 		// Stops accepting; the accepted connection stays open and silent
 		silent.close();
 
-		const heard: string[] = [];
-		const met = new Promise<void>(resolve => {
-			const late = makeLinks('late', address, from => {
-				heard.push(from);
-				late.close();
+		const senders: string[] = [];
+		const connected = new Promise<void>(resolve => {
+			const receiver = makeLinks('late', address, from => {
+				senders.push(from);
+				receiver.close();
 				resolve();
 			});
-			void late.listen().then(() => {
+			void receiver.listen().then(() => {
 				caller.contact(address);
 			});
 		});
-		await met;
-		expect(heard).toEqual(['caller']);
+		await connected;
+		expect(senders).toEqual(['caller']);
 		caller.close();
 		for (const socket of accepted) {
 			socket.destroy();
