--- a/packages/relay/src/front/side-front.ts
+++ b/packages/relay/src/front/auxiliary-servers.ts
@@ -1,7 +1,4 @@
-/**
- * The small servers beside callers' requests: whether this host is ready,
- * which hosts callers should use, and its figures. Efficiency only.
- */
+/** HTTP servers for readiness checks, host lookups, metrics and status. */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
@@ -12,21 +9,21 @@
 import {type RelayStatus} from '@gatehead/schema/relay-status';
 import {type RelayContext} from '../core/context.js';
 
-/** Most addresses of one answer: what callers take. */
-const mostAddresses = 64;
+/** Maximum number of addresses in a lookup response that callers accept. */
+const maxAddresses = 64;
 const okStatus = 200;
 const notFoundStatus = 404;
 const unavailableStatus = 503;
-/** Rest of these servers' connections, in milliseconds: checks come once a second, readers of figures every few. */
-const restMs = 15_000;
+/** Keep-alive timeout, in milliseconds: longer than the interval of readiness checks and metric scrapes. */
+const keepAliveTimeoutMs = 15_000;
 
-/** What these servers tell of. */
-export type SideFrontParts = {
+/** Dependencies of the servers. */
+export type AuxiliaryServersParts = {
 	readonly context: RelayContext;
 	readonly isReady: () => boolean;
 	readonly listMembers: () => readonly MemberRecord[];
-	/** Brings gauges up to date before they are read. */
-	readonly refresh: () => void;
+	/** Updates gauges before a scrape. */
+	readonly refreshGauges: () => void;
 	readonly describe: () => RelayStatus;
 };
 
@@ -37,16 +34,16 @@
 	response.end(body);
 }
 
-/** Serves checks, lookups and figures, each at its own address. */
-export class SideFront {
-	readonly #parts: SideFrontParts;
+/** Serves readiness, lookups and metrics, each at its own address. */
+export class AuxiliaryServers {
+	readonly #parts: AuxiliaryServersParts;
 	readonly #servers: Server[] = [];
 
-	constructor(parts: SideFrontParts) {
+	constructor(parts: AuxiliaryServersParts) {
 		this.#parts = parts;
 	}
 
-	/** Starts to listen at all addresses of the settings. */
+	/** Starts listening on all configured addresses. */
 	async listen(): Promise<void> {
 		const {settings: {listen}, dialect} = this.#parts.context;
 		await this.#serve(listen.ready, {
@@ -62,7 +59,7 @@
 		if (listen.metrics !== undefined) {
 			await this.#serve(listen.metrics, {
 				'/metrics': async (_request, response) => {
-					this.#parts.refresh();
+					this.#parts.refreshGauges();
 					send(response, okStatus, await this.#parts.context.metrics.print(), 'text/plain; version=0.0.4');
 				},
 				'/status': (_request, response) => {
@@ -72,7 +69,7 @@
 		}
 	}
 
-	/** Stops listening. */
+	/** Stops listening and closes all connections. */
 	close(): void {
 		for (const server of this.#servers) {
 			server.close();
@@ -83,7 +80,7 @@
 	#lookUp(request: IncomingMessage, response: ServerResponse): void {
 		const {context: {dialect, metrics, random, settings: {timing}}, listMembers} = this.#parts;
 		const query = new URLSearchParams((request.url ?? '').split('?', 2)[1] ?? '');
-		const addresses = answerLookup(listMembers(), dialect.readLookup(query).hall, mostAddresses);
+		const addresses = answerLookup(listMembers(), dialect.readLookup(query).hall, maxAddresses);
 		metrics.add('lookups');
 		if (addresses.length === 0) {
 			send(response, unavailableStatus, '{}');
@@ -94,7 +91,7 @@
 	}
 
 	async #serve(address: string, handlers: Readonly<Record<string, Handler>>): Promise<void> {
-		const server = createServer({keepAliveTimeout: restMs}, (request, response) => {
+		const server = createServer({keepAliveTimeout: keepAliveTimeoutMs}, (request, response) => {
 			const path = (request.url ?? '').split('?', 1)[0] ?? '';
 			const handler = Object.hasOwn(handlers, path) ? handlers[path] : undefined;
 			if (handler === undefined) {
--- a/packages/relay/src/front/caller-front.ts
+++ b/packages/relay/src/front/caller-server.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP server towards callers: reads a request whole, finds its route,
- * has it worked on, and writes one line about how it ended. Safety: a request
- * without a route, or before any configuration is known, is put on no socket.
+ * HTTP server for callers: buffers the request, resolves its route, processes
+ * it and logs its outcome. Safety: a request that matches no route, or that
+ * arrives before a configuration is loaded, is never sent to an endpoint.
  */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -26,151 +26,150 @@
 import {RequestContent} from '../work/request-content.js';
 import {readBytes} from '../utils/read-bytes.js';
 import {type JobEnd} from '../work/job-end.js';
-import {passHeaders} from './headers.js';
+import {forwardHeaders} from './headers.js';
 import {Reply} from './reply.js';
 
-/** Rest that callers' connections are allowed beyond what the configuration says, in milliseconds: a request that crosses the close would be lost. */
-const restMarginMs = 1500;
-/** Least rest that callers' connections are allowed, in milliseconds: what Node allows by itself. */
-const leastRestMs = 5000;
-/** Time for one request to arrive whole, in milliseconds: twice as long as callers at hand wait for an answer. */
-const requestMs = 30_000;
-/** When a caller that was refused for the host's sake may come back, in milliseconds: at once, elsewhere. */
-const elsewhereMs = 50;
-/** The same where all hosts of the lookup may have too much to do, in milliseconds: about as long as half of the requests in work last. */
-const crowdedMs = 500;
-/** The same where no configuration is known yet, in milliseconds: a starting host has one within 0.1 s, or else the directory is away, for seconds. Who comes back within them is refused for good. */
+/** Added to the configured idle and header timeouts, in milliseconds: a request sent while the server closes the connection would be lost. */
+const keepAliveMarginMs = 1500;
+/** Minimum keep-alive timeout, in milliseconds: Node's default. */
+const minKeepAliveMs = 5000;
+/** Timeout for receiving a whole request, in milliseconds: twice as long as callers wait for a response. */
+const requestTimeoutMs = 30_000;
+/** Retry-After of a stopping host, in milliseconds: short, as other hosts can serve the retry. */
+const stoppingRetryAfterMs = 50;
+/** Retry-After of a host at its request limit, in milliseconds: longer, as the other hosts may be overloaded too. */
+const overloadRetryAfterMs = 500;
+/** Retry-After before a configuration is loaded, in milliseconds: loading that does not finish at once waits for an unavailable directory, which takes seconds, and an early retry would be rejected again. */
 const notReadyMs = 3000;
 
-/** What the front works with. */
-export type CallerFrontParts = {
+/** Dependencies of the server. */
+export type CallerServerParts = {
 	readonly context: RelayContext;
 	readonly routing: RoutingState;
 	readonly budgets: RetryBudgets;
 	readonly accessControl: AccessControl;
 	readonly freshness: Freshness;
 	readonly guard: CrashGuard;
-	readonly work: (job: Job) => Promise<JobEnd>;
+	readonly processJob: (job: Job) => Promise<JobEnd>;
 };
 
-/** A request as it came, and what it turned out to be. */
-type Intake = {
+/** A received request that is being handled. */
+type PendingRequest = {
 	readonly request: IncomingMessage;
 	readonly reply: Reply;
 	readonly controller: AbortController;
 	readonly arrivedAt: number;
-	/** Ends the work when the caller's patience does. */
-	patience: Timer | undefined;
+	/** Aborts the request at its deadline. */
+	deadlineTimer: Timer | undefined;
 };
 
-/** Serves callers. */
-export class CallerFront {
-	readonly #parts: CallerFrontParts;
+export class CallerServer {
+	readonly #parts: CallerServerParts;
 	readonly #server: Server;
 	readonly #connections: CallerConnections;
-	readonly #secondTries = new RetryDetector();
+	readonly #retryDetector = new RetryDetector();
 	readonly #resolver: RequestResolver;
-	#open = 0;
-	#made = 0;
-	#isLast = false;
-	#isRefusing = false;
+	#activeRequests = 0;
+	#generatedIds = 0;
+	#closesConnections = false;
+	#isRejectingNew = false;
 
-	constructor(parts: CallerFrontParts) {
+	constructor(parts: CallerServerParts) {
 		this.#parts = parts;
-		this.#resolver = new RequestResolver({...parts, notReadyMs: ask => this.#notReadyMs(ask)});
+		this.#resolver = new RequestResolver({...parts, notReadyMs: request => this.#notReadyRetryAfterMs(request)});
 		const {settings: {limits}} = parts.context;
 		this.#server = createServer({
-			maxHeaderSize: limits.headerBytes, requestTimeout: requestMs, headersTimeout: requestMs, noDelay: true,
+			maxHeaderSize: limits.headerBytes, requestTimeout: requestTimeoutMs, headersTimeout: requestTimeoutMs, noDelay: true,
 		}, (request, response) => {
-			void this.#answer(request, response);
+			void this.#handleRequest(request, response);
 		});
 		this.#server.maxConnections = limits.connections;
 		this.#connections = new CallerConnections(this.#server);
 	}
 
-	/** Requests in work. */
-	get open(): number {
-		return this.#open;
+	/** Requests whose response is not closed yet. */
+	get activeRequests(): number {
+		return this.#activeRequests;
 	}
 
-	/** Starts to listen. */
+	/** Starts listening; resolves to the bound address. */
 	async listen(): Promise<string> {
 		return listenAt(this.#server, this.#parts.context.settings.listen.caller);
 	}
 
-	/** Takes over what a configuration allows callers; never less than before, since callers may hold on to that. */
-	limit({headerMs, idleMs}: CallerLimits): void {
-		this.#server.keepAliveTimeout = Math.max(this.#server.keepAliveTimeout, leastRestMs, idleMs + restMarginMs);
-		this.#server.headersTimeout = Math.max(requestMs, headerMs + restMarginMs);
+	/** Applies the timeouts of a configuration. The keep-alive timeout never shrinks, as callers may rely on the earlier value. */
+	applyLimits({headerMs, idleMs}: CallerLimits): void {
+		this.#server.keepAliveTimeout = Math.max(this.#server.keepAliveTimeout, minKeepAliveMs, idleMs + keepAliveMarginMs);
+		this.#server.headersTimeout = Math.max(requestTimeoutMs, headerMs + keepAliveMarginMs);
 	}
 
-	/** From now on each answer is the last on its connection. */
-	closeBehindAnswers(): void {
-		this.#isLast = true;
+	/** Closes each connection after its next response. */
+	closeConnectionsAfterResponses(): void {
+		this.#closesConnections = true;
 	}
 
-	/** From now on new requests are sent elsewhere. */
-	refuseNew(): void {
-		this.#isRefusing = true;
+	/** Rejects new requests with `hostStopping` and closes idle connections. */
+	rejectNewRequests(): void {
+		this.#isRejectingNew = true;
 		this.#server.closeIdleConnections();
 	}
 
-	/** Stops listening and cuts what is still connected. */
+	/** Stops listening and closes all connections. */
 	async close(): Promise<void> {
 		await this.#connections.close();
 	}
 
-	async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	async #handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const {context: {clock, metrics}} = this.#parts;
 		const arrivedAt = clock.now();
-		const reply = new Reply(response, () => clock.now(), () => this.#isLast);
+		const reply = new Reply(response, () => clock.now(), () => this.#closesConnections);
 		const controller = new AbortController();
-		this.#open += 1;
-		metrics.set('open', this.#open);
+		this.#activeRequests += 1;
+		metrics.set('open', this.#activeRequests);
 		response.once('close', () => {
-			this.#open -= 1;
-			metrics.set('open', this.#open);
+			this.#activeRequests -= 1;
+			metrics.set('open', this.#activeRequests);
 			if (!response.writableFinished) {
 				controller.abort('callerLeft');
 			}
 		});
 		response.on('error', () => {
-			// The caller is gone; `close` follows and ends the work
+			// The caller disconnected; the `close` event that follows aborts the request
 		});
-		const intake: Intake = {
-			request, reply, controller, arrivedAt, patience: undefined,
+		const pending: PendingRequest = {
+			request, reply, controller, arrivedAt, deadlineTimer: undefined,
 		};
 		try {
-			const job = await this.#takeIn(intake);
-			const end = await this.#parts.work(job);
+			const job = await this.#prepareJob(pending);
+			const end = await this.#parts.processJob(job);
 			if (!job.mayHaveRun) {
 				this.#parts.accessControl.refund(job.workspace, job.cost);
 			}
 
-			this.#note(job, end);
+			this.#recordEnd(job, end);
 		} catch (error) {
-			this.#refuse(intake, error);
+			this.#reject(pending, error);
 		} finally {
-			intake.patience?.stop();
+			pending.deadlineTimer?.stop();
 		}
 	}
 
-	#checkRoom(): void {
-		if (this.#isRefusing) {
-			fail('hostStopping', {retryAfterMs: elsewhereMs});
+	#checkCapacity(): void {
+		if (this.#isRejectingNew) {
+			fail('hostStopping', {retryAfterMs: stoppingRetryAfterMs});
 		}
 
-		if (this.#open > this.#parts.context.settings.limits.requests) {
-			fail('tooManyRequests', {retryAfterMs: crowdedMs});
+		if (this.#activeRequests > this.#parts.context.settings.limits.requests) {
+			fail('tooManyRequests', {retryAfterMs: overloadRetryAfterMs});
 		}
 	}
 
-	/** Reads the request and finds its route. */
-	async #takeIn(intake: Intake): Promise<Job> {
-		const {request, reply, controller, arrivedAt} = intake;
+	/** Reads the request, resolves its route, and charges its quota. */
+	async #prepareJob(pending: PendingRequest): Promise<Job> {
+		const {request, reply, controller, arrivedAt} = pending;
 		const {context: {clock, dialect, settings: {limits}}, budgets, accessControl, guard} = this.#parts;
-		this.#checkRoom();
-		const body = await readRequest(request, limits.bodyBytes);
+		this.#checkCapacity();
+		const body = await readBody(request, limits.bodyBytes);
 		const facts = dialect.readRequest(request.headers);
 		const target = request.url ?? '/';
 		const authority = request.headers.host ?? '';
@@ -188,7 +187,7 @@
 		const patienceMs = Math.min(facts.timeoutMs ?? route.timeoutMs, route.timeoutMs);
 		const cost = await accessControl.charge(workspace, facts);
 		budgets.recordRequest(service.name);
-		intake.patience = clock.after(arrivedAt + patienceMs - clock.now(), () => {
+		pending.deadlineTimer = clock.after(arrivedAt + patienceMs - clock.now(), () => {
 			controller.abort('timeUp');
 		});
 		return {
@@ -198,14 +197,14 @@
 			service,
 			method: request.method ?? 'GET',
 			target,
-			headers: this.#passedHeaders(request, table.hasWorkspaces),
+			headers: this.#forwardedHeaders(request, table.hasWorkspaces),
 			workspace,
 			cost,
 			body,
 			content,
 			arrivedAt,
 			deadlineAt: arrivedAt + patienceMs,
-			isCallerRetry: this.#isSecondTry(route.name, facts),
+			isCallerRetry: this.#isCallerRetry(route.name, facts),
 			signal: controller.signal,
 			reply,
 			mayHaveRun: false,
@@ -216,30 +215,30 @@
 		};
 	}
 
-	/** When a caller may come back to a host without a configuration: its route, and so the route's own time, is not known. */
-	#notReadyMs({patienceMs}: IncomingRequest): number {
+	/** Retry-After while no configuration is loaded. Uses the request's own timeout, as the route and its timeout are unknown. */
+	#notReadyRetryAfterMs({patienceMs}: IncomingRequest): number {
 		return retryAfter(notReadyMs, patienceMs ?? notReadyMs, this.#parts.context.random);
 	}
 
-	/** A caller that wants the rest of a stream has been here before, whatever its patience says. */
-	#isSecondTry(route: string, {timeoutMs, lastEventId}: RequestFacts): boolean {
-		const isLessPatient = timeoutMs !== undefined && this.#secondTries.note(route, timeoutMs);
-		return isLessPatient || lastEventId !== undefined;
+	/** Whether a request is a retry: it resumes a stream, or its timeout is shorter, as callers that retry send the time left. */
+	#isCallerRetry(route: string, {timeoutMs, lastEventId}: RequestFacts): boolean {
+		const hasShorterTimeout = timeoutMs !== undefined && this.#retryDetector.note(route, timeoutMs);
+		return hasShorterTimeout || lastEventId !== undefined;
 	}
 
-	/** Where workspaces have keys, who the caller is goes no further. */
-	#passedHeaders(request: IncomingMessage, hasWorkspaces: boolean): string[] {
+	/** Headers for the endpoint. Where workspaces have keys, those that identify the caller are removed. */
+	#forwardedHeaders(request: IncomingMessage, hasWorkspaces: boolean): string[] {
 		const {dialect} = this.#parts.context;
-		return passHeaders(request, name => name !== 'content-length' && name !== 'expect' && dialect.isForwarded(name) && !(hasWorkspaces && dialect.identifiesCaller(name)));
+		return forwardHeaders(request, name => name !== 'content-length' && name !== 'expect' && dialect.isForwarded(name) && !(hasWorkspaces && dialect.identifiesCaller(name)));
 	}
 
-	/** Names a request that came without a name, for the log. */
+	/** Generates an id for a request without one, for the log. */
 	#makeId(): string {
-		this.#made += 1;
-		return `${this.#parts.context.self.host}-${this.#made}`;
+		this.#generatedIds += 1;
+		return `${this.#parts.context.self.host}-${this.#generatedIds}`;
 	}
 
-	#refuse({request, reply, controller: {signal}, arrivedAt}: Intake, error: unknown): void {
+	#reject({request, reply, controller: {signal}, arrivedAt}: PendingRequest, error: unknown): void {
 		const {context: {clock, log, metrics, dialect}, routing} = this.#parts;
 		const {code, message, retryAfterMs} = toFailure(error);
 		reply.refuse(code, {retryAfterMs, mayHaveRun: false, isRepeatable: false});
@@ -248,13 +247,13 @@
 		log(code === 'internal' ? 'internal' : 'requestEnded', {
 			request: dialect.readRequest(request.headers).id, outcome, reason: code, detail: message, version: routing.version, evidenceAgeMs: isDecidedByConfiguration(code) ? Math.round(routing.ageMs()) : undefined, tookMs: Math.round(clock.now() - arrivedAt),
 		});
-		// A body that was not read to its end would block the connection
+		// An unread body would block the connection
 		if (!request.complete) {
 			request.destroy();
 		}
 	}
 
-	#note(job: Job, {outcome, code, endpoint, detail, longestGapMs}: JobEnd): void {
+	#recordEnd(job: Job, {outcome, code, endpoint, detail, longestGapMs}: JobEnd): void {
 		const {context: {clock, log, metrics}, routing} = this.#parts;
 		const {id, route, service, workspace, reply, arrivedAt, sends, runs, isCallerRetry} = job;
 		const now = clock.now();
@@ -287,15 +286,15 @@
 	}
 }
 
-/** Reads a request's body whole; undefined where it has none. */
-async function readRequest(request: IncomingMessage, most: number): Promise<Uint8Array | undefined> {
+/** Reads a request's body; undefined if it has none. Throws `bodyTooLarge` or `callerGone`. */
+async function readBody(request: IncomingMessage, maxBytes: number): Promise<Uint8Array | undefined> {
 	const {'content-length': length, 'transfer-encoding': coding} = request.headers;
 	if (length === undefined && coding === undefined) {
 		request.resume();
 		return undefined;
 	}
 
-	return readBytes(request, most, () => new Failure('bodyTooLarge')).catch((error: unknown) => {
+	return readBytes(request, maxBytes, () => new Failure('bodyTooLarge')).catch((error: unknown) => {
 		throw error instanceof Failure ? error : new Failure('callerGone', {cause: error});
 	});
 }
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -1,7 +1,6 @@
 /**
- * One relay process put together: its tasks, how they hear of each other,
- * started and stopped in order. Efficiency: a planned stop serves on until no
- * lookup can name this host. Safety rests on the tasks, not here.
+ * Composition root of a relay process: creates its components, connects them,
+ * and starts and stops them in order. Safety rests on the components.
  */
 import {type MemberRecord} from '@gatehead/schema/peer-message';
 import {type RelaySettings} from '@gatehead/schema/relay-settings';
@@ -10,8 +9,8 @@
 import {makeRelayContext, type RelayContext, type RelayContextParts} from './core/context.js';
 import {DirectoryWatch} from './core/directory-watch.js';
 import {RoutingState} from './core/routing-state.js';
-import {CallerFront} from './front/caller-front.js';
-import {SideFront} from './front/side-front.js';
+import {CallerServer} from './front/caller-server.js';
+import {AuxiliaryServers} from './front/auxiliary-servers.js';
 import {Fleet} from './peer/fleet.js';
 import {CrashGuard} from './upstream/crash-guard.js';
 import {CrashCheck} from './upstream/crash-check.js';
@@ -27,14 +26,13 @@
 import {Admission} from './work/admission.js';
 import {StageOrders} from './work/stage-orders.js';
 
-/** Rest of the grace that is kept for ending, in milliseconds: closing takes some tens. */
-const endMarginMs = 500;
-/** Ticks until all hosts have heard that this one leaves: news is passed on at once, a tick is the longest that it waits. */
-const newsTicks = 1;
-/** Interval at which a stopping host looks whether anything is left in work, in milliseconds. */
-const pollMs = 50;
+/** Part of the grace period reserved for closing connections and components, in milliseconds. */
+const closeMarginMs = 500;
+/** Heartbeat intervals until all hosts know that this one is leaving; membership changes are sent at once, or at the next heartbeat at the latest. */
+const gossipTicks = 1;
+/** Interval at which a stopping host checks for active requests, in milliseconds. */
+const drainPollMs = 50;
 
-/** A relay process. */
 export class Relay {
 	readonly context: RelayContext;
 	readonly endpoints: Endpoints;
@@ -42,10 +40,10 @@
 	readonly fleet: Fleet;
 	readonly guard: CrashGuard;
 	readonly #watch: DirectoryWatch;
-	readonly #front: CallerFront;
-	readonly #side: SideFront;
-	readonly #work: WorkParts;
-	readonly #orders: StageOrders;
+	readonly #callerServer: CallerServer;
+	readonly #auxiliaryServers: AuxiliaryServers;
+	readonly #handlerParts: WorkParts;
+	readonly #stageOrders: StageOrders;
 	#isStopping = false;
 
 	constructor(parts: RelayContextParts) {
@@ -66,12 +64,12 @@
 				this.fleet.announceDrain(endpoint);
 			},
 			onCapacityFreed: service => {
-				this.#work.admission.handleCapacityFreed(service);
+				this.#handlerParts.admission.handleCapacityFreed(service);
 			},
 			subset: () => this.fleet.load.subset,
 		});
 		this.routing = new RoutingState(context, routing => {
-			this.#front.limit(routing.callerLimits);
+			this.#callerServer.applyLimits(routing.callerLimits);
 		});
 		const endCheck = new CrashCheck(context, this.endpoints);
 		this.guard = new CrashGuard({
@@ -83,7 +81,7 @@
 			isTrialHost: content => this.fleet.isCoordinator(content),
 		});
 		this.fleet = new Fleet({
-			context, guard: this.guard, endpoints: this.endpoints, routing: this.routing, watch: () => this.#watch, measureLoad: () => Math.min(1, this.#front.open / context.settings.limits.requests),
+			context, guard: this.guard, endpoints: this.endpoints, routing: this.routing, watch: () => this.#watch, measureLoad: () => Math.min(1, this.#callerServer.activeRequests / context.settings.limits.requests),
 		});
 		this.#watch = new DirectoryWatch({
 			context,
@@ -100,11 +98,11 @@
 		});
 		const ownCalls = new ControlCalls(context, this.endpoints);
 		const budgets = new RetryBudgets(context, () => this.fleet.countHosts());
-		this.#orders = new StageOrders({
-			context, endpoints: this.endpoints, routing: this.routing, fleet: this.fleet, watch: this.#watch, ownCalls, releaseRateOf: service => this.#work.admission.releaseRateOf(service), lastWaitedAt: service => this.#work.admission.lastWaitedAt(service),
+		this.#stageOrders = new StageOrders({
+			context, endpoints: this.endpoints, routing: this.routing, fleet: this.fleet, watch: this.#watch, ownCalls, releaseRateOf: service => this.#handlerParts.admission.releaseRateOf(service), lastWaitedAt: service => this.#handlerParts.admission.lastWaitedAt(service),
 		});
 		const news = this.fleet.load;
-		this.#work = {
+		this.#handlerParts = {
 			context,
 			endpoints: this.endpoints,
 			sender: new Sender({
@@ -116,29 +114,29 @@
 				context, endpoints: this.endpoints, calls: ownCalls, news, limiter: this.fleet.limiter,
 			}),
 			ownCalls,
-			orders: this.#orders,
+			orders: this.#stageOrders,
 			news,
 		};
-		this.#front = new CallerFront({
-			context, routing: this.routing, budgets, guard: this.guard, freshness: this.fleet.freshness, accessControl: new AccessControl({routing: this.routing, freshness: this.fleet.freshness, quotas: this.fleet.quotas}), work: async job => this.#workOn(job),
+		this.#callerServer = new CallerServer({
+			context, routing: this.routing, budgets, guard: this.guard, freshness: this.fleet.freshness, accessControl: new AccessControl({routing: this.routing, freshness: this.fleet.freshness, quotas: this.fleet.quotas}), processJob: async job => this.#processJob(job),
 		});
-		this.#side = new SideFront({
+		this.#auxiliaryServers = new AuxiliaryServers({
 			context,
 			isReady: () => this.isReady,
-			listMembers: () => this.#listForCallers(),
-			refresh: () => {
-				this.#refresh();
+			listMembers: () => this.#listLookupMembers(),
+			refreshGauges: () => {
+				this.#refreshGauges();
 			},
 			describe: () => this.describe(),
 		});
 	}
 
-	/** Whether callers should come here. */
+	/** Whether this host accepts requests: a configuration is loaded and no stop has begun. */
 	get isReady(): boolean {
 		return !this.#isStopping && this.routing.table !== undefined;
 	}
 
-	/** What operators see of this process. */
+	/** State of this process for operators. */
 	describe(): RelayStatus {
 		const {self, settings} = this.context;
 		return {
@@ -149,9 +147,9 @@
 			directoryRevision: this.#watch.revision,
 			directoryEpoch: this.#watch.position?.epoch,
 			isDirectoryDown: this.#watch.isUnavailable,
-			open: this.#front.open,
-			waiting: this.#work.admission.waiting,
-			retryLeft: Math.floor(this.#work.budgets.lowestLeft()),
+			open: this.#callerServer.activeRequests,
+			waiting: this.#handlerParts.admission.waiting,
+			retryLeft: Math.floor(this.#handlerParts.budgets.lowestLeft()),
 			subset: this.fleet.load.subset,
 			members: this.fleet.membership.members.list().map(({host, state}) => ({host, state})),
 			services: this.#describeServices(),
@@ -159,72 +157,72 @@
 		};
 	}
 
-	/** Starts all tasks. */
+	/** Starts the servers, then the background tasks. */
 	async start(): Promise<void> {
 		const {log, settings: {listen, seeds}} = this.context;
-		await this.#front.listen();
-		await this.#side.listen();
+		await this.#callerServer.listen();
+		await this.#auxiliaryServers.listen();
 		await this.fleet.start();
 		this.endpoints.start();
 		this.guard.start();
 		this.#watch.start();
-		this.#orders.start();
+		this.#stageOrders.start();
 		log('started', {...listen, seeds: seeds.join(' '), incarnation: this.context.self.incarnation});
 	}
 
-	/** Takes over settings that were read again; what needs another process is left as it is. */
+	/** Applies reloaded settings. Only `seeds` takes effect; all others need a restart. */
 	reload({seeds}: RelaySettings): void {
 		this.fleet.reload(seeds);
 		this.context.log('settingsReloaded', {seeds: seeds.join(' ')});
 	}
 
-	/** A planned stop: out of lookups, on with what comes until no lookup can name this host, then only to the end of what is in work. */
+	/** Stops gracefully: leaves the lookups, accepts requests until cached lookups have expired, then drains active requests within the grace period. */
 	async stop(): Promise<void> {
 		const {clock, log, settings: {timing}} = this.context;
 		const startedAt = clock.now();
 		this.#isStopping = true;
-		this.#orders.stop();
-		log('stopping', {open: this.#front.open});
+		this.#stageOrders.stop();
+		log('stopping', {open: this.#callerServer.activeRequests});
 		this.fleet.leave();
-		this.#front.closeBehindAnswers();
-		const acceptMs = (timing.lookupTtlMs * timing.lookupStretch) + (newsTicks * timing.tickMs);
-		await this.#pause(Math.min(acceptMs, timing.graceMs / 2));
-		this.#front.refuseNew();
-		while (this.#front.open > 0 && clock.now() - startedAt < timing.graceMs - endMarginMs) {
-			await this.#pause(pollMs);
+		this.#callerServer.closeConnectionsAfterResponses();
+		const acceptMs = (timing.lookupTtlMs * timing.lookupStretch) + (gossipTicks * timing.tickMs);
+		await this.#sleep(Math.min(acceptMs, timing.graceMs / 2));
+		this.#callerServer.rejectNewRequests();
+		while (this.#callerServer.activeRequests > 0 && clock.now() - startedAt < timing.graceMs - closeMarginMs) {
+			await this.#sleep(drainPollMs);
 		}
 
-		log('stopped', {open: this.#front.open, tookMs: Math.round(clock.now() - startedAt)});
+		log('stopped', {open: this.#callerServer.activeRequests, tookMs: Math.round(clock.now() - startedAt)});
 		await this.close();
 	}
 
-	/** Ends at once. */
+	/** Stops immediately; active requests are aborted. */
 	async close(): Promise<void> {
 		this.#watch.stop();
-		this.#orders.stop();
+		this.#stageOrders.stop();
 		this.guard.close();
 		this.fleet.close();
-		this.#work.admission.close();
-		this.#side.close();
-		await this.#front.close();
+		this.#handlerParts.admission.close();
+		this.#auxiliaryServers.close();
+		await this.#callerServer.close();
 		this.endpoints.close();
 		this.context.directory.close();
 		this.context.metrics.close();
 	}
 
-	/** A host that must refuse requests with keys names the others alone, while it knows some. */
-	#listForCallers(): readonly MemberRecord[] {
+	/** Members for lookups. Without this host while it must reject requests with keys, provided that another host is alive. */
+	#listLookupMembers(): readonly MemberRecord[] {
 		const members = this.fleet.membership.members.list();
 		const others = members.filter(({host}) => host !== this.context.self.host);
 		const hasOthers = others.some(({state}) => state === 'alive');
 		return this.fleet.freshness.isUnconfirmed && hasOthers ? others : members;
 	}
 
-	async #workOn(job: Job): Promise<JobEnd> {
-		return job.service.engine === undefined ? runPlain(this.#work, job) : runGeneration(this.#work, job);
+	async #processJob(job: Job): Promise<JobEnd> {
+		return job.service.engine === undefined ? runPlain(this.#handlerParts, job) : runGeneration(this.#handlerParts, job);
 	}
 
-	async #pause(milliseconds: number): Promise<void> {
+	async #sleep(milliseconds: number): Promise<void> {
 		return new Promise<void>(resolve => {
 			this.context.clock.after(milliseconds, resolve);
 		});
@@ -239,11 +237,11 @@
 		});
 	}
 
-	#refresh(): void {
+	#refreshGauges(): void {
 		const {metrics} = this.context;
-		metrics.set('waiting', this.#work.admission.waiting);
+		metrics.set('waiting', this.#handlerParts.admission.waiting);
 		metrics.set('hosts', this.fleet.countHosts());
-		metrics.set('retryLeft', this.#work.budgets.lowestLeft());
+		metrics.set('retryLeft', this.#handlerParts.budgets.lowestLeft());
 		const {signals} = this.endpoints;
 		const now = this.context.clock.now();
 		metrics.set('limitedEndpoints', signals.list(now).filter(({signal}) => signal === 'limit').length);
