--- a/packages/relay/src/utils/bounded-output.ts
+++ b/packages/relay/src/utils/bounded-output.ts
@@ -1,29 +1,25 @@
-/**
- * Log lines on their way out. A reader that is slow or has stopped never
- * blocks the process: beyond a bound lines are dropped and counted.
- * Neither safety nor efficiency rests here.
- */
+/** A stream for log lines that drops and counts them when its reader is slow, instead of blocking or buffering without limit. */
 import {Writable, type Writable as Output} from 'node:stream';
 
-/** Passes lines on while few bytes wait. */
+/** Forwards lines to `output` while it buffers at most `maxBufferedBytes`. */
 export class BoundedOutput extends Writable {
-	/** Lines dropped because the reader did not take them. */
+	/** Lines dropped because the output was destroyed, failed or was full. */
 	dropped = 0;
 	readonly #output: Output;
-	readonly #mostBytes: number;
+	readonly #maxBufferedBytes: number;
 
-	constructor(output: Output, mostBytes: number) {
+	constructor(output: Output, maxBufferedBytes: number) {
 		super({decodeStrings: false});
 		this.#output = output;
-		this.#mostBytes = mostBytes;
-		// A reader that went away must not end the process; its lines are dropped like those of a slow one
+		this.#maxBufferedBytes = maxBufferedBytes;
+		// An unhandled `error` event, as from a closed pipe, would end the process
 		output.on('error', () => {
 			this.dropped += 1;
 		});
 	}
 
 	override _write(line: string | Uint8Array, _encoding: BufferEncoding, done: (error?: Error) => void): void {
-		if (this.#output.destroyed || this.#output.writableLength > this.#mostBytes) {
+		if (this.#output.destroyed || this.#output.writableLength > this.#maxBufferedBytes) {
 			this.dropped += 1;
 		} else {
 			this.#output.write(line);
--- a/packages/relay/src/utils/metrics.ts
+++ b/packages/relay/src/utils/metrics.ts
@@ -1,8 +1,7 @@
 /**
- * Counters, gauges and latency histograms in the usual text exposition, by
- * prom-client; the same counts go out as StatsD datagrams where settings ask
- * for it. Labels take values from small fixed sets only. Neither safety nor
- * efficiency rests here.
+ * Prometheus counters, gauges and histograms by prom-client. Counts and
+ * durations are also sent as StatsD datagrams if configured. Label values come
+ * from small fixed sets only.
  */
 import {ignore} from '@gatehead/policy/utils/ignore';
 import {splitAddress} from '@gatehead/schema/address';
@@ -11,7 +10,7 @@
 	Counter, Gauge, Histogram, Registry,
 } from 'prom-client';
 
-/** Counters by name, with what they count and the labels that split them. */
+/** Counters by name. */
 export const counterRows = {
 	requests: {name: 'gatehead_requests_total', help: 'Requests that ended, by kind of route and outcome.', labels: ['kind', 'outcome']},
 	sends: {name: 'gatehead_sends_total', help: 'Requests sent to endpoints, by step and outcome.', labels: ['step', 'outcome']},
@@ -70,18 +69,15 @@
 	gap: {name: 'gatehead_event_gap_ms', help: 'Longest pause between two events of a stream.', labels: []},
 } as const satisfies Record<string, {readonly name: string; readonly help: string; readonly labels: readonly string[]}>;
 
-/** A counter. */
 export type CounterName = keyof typeof counterRows;
-/** A gauge. */
 export type GaugeName = keyof typeof gaugeRows;
-/** A histogram. */
 export type HistogramName = keyof typeof histogramRows;
 
 function mapRows<Name extends string, Row, Made>(rows: Readonly<Record<Name, Row>>, make: (row: Row) => Made): ReadonlyMap<string, Made> {
 	return new Map(Object.entries<Row>(rows).map(([name, row]) => [name, make(row)]));
 }
 
-/** Figures of one process. */
+/** Metrics of one process. */
 export class Metrics {
 	readonly registry = new Registry();
 	readonly #counters = mapRows(counterRows, ({name, help, labels}) => new Counter({
@@ -106,13 +102,12 @@
 		});
 	}
 
-	/** Adds to a counter. */
+	/** Increments a counter. */
 	add(name: CounterName, labels: Readonly<Record<string, string>> = {}, amount = 1): void {
 		this.#counters.get(name)?.inc(labels, amount);
 		this.#statsd?.increment(name, amount, labels);
 	}
 
-	/** Sets a gauge. */
 	set(name: GaugeName, value: number): void {
 		this.#gauges.get(name)?.set(value);
 	}
@@ -123,12 +118,12 @@
 		this.#statsd?.timing(name, milliseconds, labels);
 	}
 
-	/** All figures as text. */
+	/** All metrics in the Prometheus text format. */
 	async print(): Promise<string> {
 		return this.registry.metrics();
 	}
 
-	/** Closes the socket for datagrams. */
+	/** Closes the StatsD socket. */
 	close(): void {
 		this.#statsd?.close(ignore);
 	}
--- a/packages/relay/src/utils/read-bytes.ts
+++ b/packages/relay/src/utils/read-bytes.ts
@@ -1,16 +1,13 @@
-/**
- * Reads a message's body whole, up to a bound. Neither safety nor efficiency
- * rests here: whether the body was cut is for its reader to find out.
- */
+/** Buffers the body of an HTTP message, up to a size limit. */
 import {type IncomingMessage} from 'node:http';
 
-/** Reads all bytes; beyond `most` it raises what `makeTooLarge` makes, and the message is destroyed. */
-export async function readBytes(message: IncomingMessage, most: number, makeTooLarge: () => Error): Promise<Uint8Array> {
+/** Reads the whole body. If it exceeds `maxBytes`, destroys the message and throws the error from `makeTooLarge`. Does not check that the body is complete. */
+export async function readBytes(message: IncomingMessage, maxBytes: number, makeTooLarge: () => Error): Promise<Uint8Array> {
 	const chunks: Uint8Array[] = [];
 	let size = 0;
 	for await (const chunk of message as AsyncIterable<Uint8Array>) {
 		size += chunk.length;
-		if (size > most) {
+		if (size > maxBytes) {
 			throw makeTooLarge();
 		}
 
--- a/packages/relay/src/utils/relay-log.test.ts
+++ b/packages/relay/src/utils/relay-log.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: the log's volume under a storm, and with a reader that has stopped. */
+/** Guards against a log that floods its reader, hides failures, or buffers without limit when its reader stops. */
 import {Buffer} from 'node:buffer';
 import {Writable} from 'node:stream';
 import {describe, it} from 'node:test';
@@ -7,7 +7,7 @@
 import {Metrics} from './metrics.js';
 import {RelayLog} from './relay-log.js';
 
-/** A reader that keeps what it takes, or takes nothing. */
+/** Collects lines; a stopped reader never completes a write. */
 class Reader extends Writable {
 	readonly lines: string[] = [];
 	readonly #isStopped: boolean;
@@ -39,7 +39,7 @@
 }
 
 describe('relay log', () => {
-	it('a storm of one kind is bounded, and what was left out is counted in a line', () => {
+	it('limits the rate of one code and reports the suppressed lines', () => {
 		const reader = new Reader(false);
 		const {clock, log} = open(reader);
 		for (let line = 0; line < 1000; line += 1) {
@@ -53,7 +53,7 @@
 		expect(linesOf(reader, 'linesLeftOut').length).toEqual(1);
 	});
 
-	it('a storm of successes hides no failure', () => {
+	it('a flood of one code suppresses no other code', () => {
 		const reader = new Reader(false);
 		const {log} = open(reader);
 		for (let line = 0; line < 1000; line += 1) {
@@ -64,7 +64,7 @@
 		expect(linesOf(reader, 'streamBroken').length).toEqual(1);
 	});
 
-	it('a reader that has stopped costs no more than the bound, and never blocks', async () => {
+	it('drops lines beyond the buffer limit when the reader stops, without blocking', async () => {
 		const reader = new Reader(true);
 		const {log, metrics, clock} = open(reader);
 		for (let line = 0; line < 500; line += 1) {
@@ -77,10 +77,10 @@
 		expect(Number(counted?.groups?.count) > 0).toEqual(true);
 	});
 
-	it('a line names code, host and hall, and holds the facts', () => {
+	it('a line has its code, host, hall and fields', () => {
 		const reader = new Reader(false);
 		open(reader).log.write('endpointPaused', {endpoint: 'e', pauseMs: 1500});
-		const line = JSON.parse(reader.lines[0] ?? '{}') as Record<string, unknown>; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the test's own words
+		const line = JSON.parse(reader.lines[0] ?? '{}') as Record<string, unknown>; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- a line that this test wrote
 		expect([line.code, line.name, line.host, line.hall, line.endpoint, line.level]).toEqual([5026, 'endpointPaused', 'a', 'h', 'e', 'warn']);
 	});
 });
