--- a/packages/schema/src/admin-protocol.ts
+++ b/packages/schema/src/admin-protocol.ts
@@ -1,14 +1,14 @@
-/** What the administration interface answers, as `gateheadctl` reads it. Reads only. Neither safety nor efficiency rests here. */
+/** Responses of the read-only administration interface. */
 import {z} from 'zod';
 import {event} from './event.js';
 import {memberState} from './peer-message.js';
 
-/** The bundle in force at a host; version 0 where there is none. */
+/** The active bundle of a host; version 0 if there is none. */
 export const bundleStatus = z.object({
 	deployment: z.string().optional(), version: z.number(), digest: z.string(), since: z.string().nullable(), forMs: z.number(),
 });
 
-/** A host's view of itself and the others. */
+/** Status of a host, and of the other hosts as it sees them. */
 export const hostStatus = z.object({
 	host: z.string(),
 	incarnation: z.number(),
@@ -17,7 +17,7 @@
 	state: memberState,
 	bundle: bundleStatus,
 	isConfigurationDown: z.boolean(),
-	/** Requests and cancels in work. */
+	/** Active requests and cancellations. */
 	open: z.number(),
 	members: z.array(z.object({
 		host: z.string(), state: memberState, hall: z.string(), incarnation: z.number(), load: z.number(),
@@ -27,19 +27,15 @@
 	})),
 });
 
-/** Use by caller since the host's start. */
+/** Usage by caller since the host started. */
 export const usageRows = z.array(z.object({
 	caller: z.string(), member: z.string(), priority: z.number(), share: z.number(), counts: z.record(z.string(), z.number()),
 }));
 
-/** Events of a host, oldest first; `dropped` counts those that no longer fitted its ring. */
+/** Events of a host, oldest first; `dropped` counts those evicted from its ring buffer. */
 export const timelineAnswer = z.object({host: z.string(), dropped: z.number(), events: z.array(event)});
 
-/** The bundle in force. */
 export type BundleStatus = z.infer<typeof bundleStatus>;
-/** A host's view. */
 export type HostStatus = z.infer<typeof hostStatus>;
-/** Use by caller. */
 export type UsageRows = z.infer<typeof usageRows>;
-/** Events of a host. */
 export type TimelineAnswer = z.infer<typeof timelineAnswer>;
--- a/packages/schema/src/bundle.ts
+++ b/packages/schema/src/bundle.ts
@@ -1,6 +1,6 @@
 /**
- * The versioned bundle: what serves, where, and for whom. Safety: a bundle
- * is adopted only by signature and rising version (see `signed-bundle.ts`).
+ * Schema of the bundle: models, engines, services, callers and rules. Safety:
+ * a bundle is adopted only if it is signed and its version is higher (see `signed-bundle.ts`).
  */
 import {z} from 'zod';
 import {address} from './address.js';
@@ -8,7 +8,7 @@
 const name = z.string().regex(/^[a-z0-9][a-z0-9.\-]{0,63}$/v, 'a name of up to 64 small letters, digits, dots and hyphens');
 const positive = z.number().int().positive();
 
-/** A model, its window in tokens and the size of its KV cache in bytes a token. */
+/** A model with its context window and the size of its KV cache. */
 export const model = z.strictObject({
 	name,
 	version: name,
@@ -17,10 +17,10 @@
 	adapters: z.array(z.strictObject({name, version: name})).default([]),
 });
 
-/** What an engine does: `prefill` builds the KV cache, `decode` generates from it. */
+/** Role of an engine: `prefill` builds the KV cache, `decode` generates from it. */
 export const role = z.enum(['prefill', 'decode']);
 
-/** A model engine with what the operators know of its speed. */
+/** A model engine with its capacity. */
 export const engine = z.strictObject({
 	name,
 	hall: name,
@@ -29,24 +29,24 @@
 	role,
 	model: name,
 	adapters: z.array(name).default([]),
-	/** Requests that a decode engine's memory holds; places that a prefill engine works on at once. */
+	/** Concurrent requests: those that fit into a decode engine's memory, or that a prefill engine processes in parallel. */
 	slots: positive.max(4096),
-	/** Prompt tokens a second of a prefill engine. */
+	/** Throughput of a prefill engine, in prompt tokens per second. */
 	prefillTokensPerSecond: positive.default(20_000),
-	/** Rate at which a prefill engine's results leave it. */
+	/** Rate at which results are transferred from a prefill engine. */
 	linkBytesPerSecond: positive.default(10_000_000_000),
-	/** How long a prefill engine keeps a result that nobody imports. */
+	/** How long a prefill engine keeps a result that is not imported. */
 	resultHoldMs: positive.max(60_000).default(800),
-	/** Whether the engine checks who gives it an order. */
+	/** Whether the engine authenticates the sender of an order. */
 	checksSender: z.boolean().default(false),
-	/** Set while the endpoint is leaving: it gets no new work. */
+	/** Set while the endpoint is leaving: it gets no new requests. */
 	leaving: z.boolean().default(false),
 });
 
-/** A plain service and its replicas. */
+/** A service without a model, and its replicas. */
 export const service = z.strictObject({
 	name,
-	/** False: a call runs at most once and needs a ticket. */
+	/** If false, a call runs at most once and needs a ticket. */
 	repeatable: z.boolean(),
 	checksSender: z.boolean().default(false),
 	timeoutMs: positive.max(600_000).default(10_000),
@@ -55,41 +55,41 @@
 	})).min(1),
 });
 
-/** Someone who calls: a workspace or application, for audit grouped by member. */
+/** A workspace or application that sends requests; usage is grouped by `member`. */
 export const caller = z.strictObject({
 	name,
-	/** The firm or office that pays for the use. */
+	/** The organization that is billed for the usage. */
 	member: name,
-	/** 0 is the most urgent. */
+	/** 0 is the highest. */
 	priority: z.number().int().min(0).max(9),
-	/** Weight against others when capacity is short. */
+	/** Weight relative to other callers when capacity is short. */
 	share: z.number().positive().max(1_000_000),
 	/** SHA-256 of the bearer token, in hexadecimal. */
 	tokenDigest: z.string().regex(/^[0-9a-f]{64}$/v, '64 hexadecimal digits'),
-	/** Most requests in work at once at the whole system; absent: no limit. */
+	/** Maximum number of concurrent requests over all hosts; unlimited if absent. */
 	limit: positive.optional(),
 });
 
-/** Latency targets of one priority. */
+/** Latency targets of one priority: time to the first token, and time per token. */
 export const target = z.strictObject({
 	priority: z.number().int().min(0).max(9),
 	ttftMs: positive,
 	tokenMs: positive,
 });
 
-/** What weighs more: answers in time, or no prefill work thrown away. */
+/** What scheduling optimizes: responses within their targets, or little wasted prefill work. */
 export const objective = z.enum(['goodput', 'wastedPrefill']);
 
-/** Rules that hold for all models. */
+/** Scheduling rules for all models. */
 export const rules = z.strictObject({
 	objective,
 	targets: z.array(target).min(1),
 	lookupTtlMs: positive.max(3_600_000).default(20_000),
-	/** Times a request may be started at engines before it is given up. */
+	/** Maximum number of attempts per request. */
 	attempts: positive.max(20).default(4),
 });
 
-/** The whole bundle. */
+/** A whole bundle; references between its sections are checked. */
 export const bundle = z.strictObject({
 	deployment: name,
 	version: positive,
@@ -104,25 +104,16 @@
 	}
 });
 
-/** A model of the bundle. */
 export type Model = z.infer<typeof model>;
-/** An engine of the bundle. */
 export type Engine = z.infer<typeof engine>;
-/** An engine's role. */
 export type Role = z.infer<typeof role>;
-/** A plain service of the bundle. */
 export type Service = z.infer<typeof service>;
-/** A caller of the bundle. */
 export type Caller = z.infer<typeof caller>;
-/** Latency targets of a priority. */
 export type Target = z.infer<typeof target>;
-/** The deployment's objective. */
 export type Objective = z.infer<typeof objective>;
-/** Rules of the bundle. */
 export type Rules = z.infer<typeof rules>;
-/** The whole bundle. */
 export type Bundle = z.infer<typeof bundle>;
-/** The bundle as an operator writes it, before defaults. */
+/** A bundle as written, before defaults are applied. */
 export type BundleDraft = z.input<typeof bundle>;
 
 type Fault = {
@@ -142,7 +133,7 @@
 	const seen = new Set<string>();
 	for (const [index, each] of names.entries()) {
 		if (seen.has(each)) {
-			yield {path: [section, index], expected: `a name used once, and ${each} stands twice`};
+			yield {path: [section, index], expected: `a unique name, ${each} is used twice`};
 		}
 
 		seen.add(each);
@@ -178,7 +169,7 @@
 function * findTargetFaults({callers, rules}: Parts): Generator<Fault> {
 	for (const [index, each] of callers.entries()) {
 		if (!rules.targets.some(candidate => candidate.priority === each.priority)) {
-			yield {path: ['callers', index, 'priority'], expected: 'a priority that rules.targets names'};
+			yield {path: ['callers', index, 'priority'], expected: 'a priority that has a target in rules.targets'};
 		}
 	}
 }
@@ -194,11 +185,11 @@
 	yield * findTargetFaults(parts);
 }
 
-/** Latency targets of a priority; the bundle's check makes sure that there are some. */
+/** Latency targets of a priority. The schema guarantees one for each priority in use; for any other, returns the last. */
 export function targetOf({targets}: Rules, priority: number): Target {
 	const found = targets.find(each => each.priority === priority) ?? targets.at(-1);
 	if (found === undefined) {
-		throw new RangeError('A checked bundle has at least one target.');
+		throw new RangeError('A validated bundle has at least one target.');
 	}
 
 	return found;
--- a/packages/schema/src/caller-protocol.ts
+++ b/packages/schema/src/caller-protocol.ts
@@ -1,7 +1,6 @@
-/** What callers send and get: the convention that their clients already speak, with a numbered code and `ran` in every error. Safety: `ran` tells a caller whether it may repeat a call. */
+/** The HTTP API for callers, modelled on the OpenAI API; each error has a numbered code and `ran`. Safety: `ran` tells a caller whether it may repeat a call. */
 import {z} from 'zod';
 
-/** Paths towards callers. */
 export const callerPaths = {
 	hosts: '/v1/hosts',
 	completions: '/v1/completions',
@@ -9,13 +8,13 @@
 	services: '/services/',
 } as const;
 
-/** Headers that gatehead adds to the convention. */
+/** Headers with a meaning of their own in this API. */
 export const callerHeaders = {
-	/** `TICKET~NAME`: names a request so that a repeated call finds the first. */
+	/** `TICKET~NAME`: identifies a request, so that a repeated call is matched to the first. */
 	key: 'idempotency-key',
-	/** Number of the last event that the caller has, to get the rest of a stream. */
+	/** Number of the last event received, to resume a stream after it. */
 	lastEvent: 'last-event-id',
-	/** Set by a host that forwards a call to the ticket's host. */
+	/** Set by a host that forwards a call to the host that issued its ticket. */
 	forwarded: 'gatehead-forwarded',
 } as const;
 
@@ -29,7 +28,7 @@
 	adapter: z.string().max(200).optional(),
 };
 
-/** Body of `POST /v1/completions`. Unknown fields of the convention are let through unread. */
+/** Body of `POST /v1/completions`. Unknown fields are ignored. */
 export const completionBody = z.object({...common, prompt: z.string().min(1).max(longestPrompt)});
 
 /** Body of `POST /v1/chat/completions`. */
@@ -38,7 +37,7 @@
 	messages: z.array(z.object({role: z.string().max(40), content: z.string().max(longestPrompt)})).min(1).max(1000),
 });
 
-/** Answer of `GET /v1/hosts`: addresses in the order to try, for `ttlMs`, with a ticket of each. */
+/** Response of `GET /v1/hosts`: addresses in the order to try them, valid for `ttlMs`, each with a ticket. */
 export const hostsAnswer = z.object({
 	ttlMs: z.number(),
 	hosts: z.array(z.object({
@@ -46,18 +45,13 @@
 	})),
 });
 
-/** The error body. */
 export const errorBody = z.object({
 	error: z.object({
 		message: z.string(), type: z.string(), code: z.number(), ran: z.enum(['no', 'yes', 'unknown']), retryAfterMs: z.number().optional(),
 	}),
 });
 
-/** Body of a completion call. */
 export type CompletionBody = z.infer<typeof completionBody>;
-/** Body of a chat call. */
 export type ChatBody = z.infer<typeof chatBody>;
-/** Answer to a lookup. */
 export type HostsAnswer = z.infer<typeof hostsAnswer>;
-/** Body of an error. */
 export type ErrorBody = z.infer<typeof errorBody>;
--- a/packages/schema/src/canonical-json.ts
+++ b/packages/schema/src/canonical-json.ts
@@ -1,4 +1,4 @@
-/** JSON text with sorted keys, so that equal content has equal bytes and one digest. Safety: signatures cover this text. */
+/** JSON text with sorted keys, so that equal values have equal text and digests. Safety: signatures cover this text. */
 import {createHash} from 'node:crypto';
 
 function sortKeys(value: unknown): unknown {
@@ -15,7 +15,7 @@
 	return Object.fromEntries(entries.map(([key, inner]) => [key, sortKeys(inner)]));
 }
 
-/** Writes a value as JSON with sorted keys. */
+/** Serializes a value as JSON with sorted keys. Properties that are undefined are omitted. */
 export function toCanonicalJson(value: unknown): string {
 	return JSON.stringify(sortKeys(value));
 }
--- a/packages/schema/src/check.ts
+++ b/packages/schema/src/check.ts
@@ -1,11 +1,10 @@
-/** Checks outside data against a schema and names every fault at once: path, value found, what was expected. Safety: what does not fit goes no further. */
+/** Validates external data against a schema and reports all errors at once. Safety: invalid data is rejected. */
 import {type z} from 'zod';
 import {type Code} from './codes.js';
 import {fail} from './failure.js';
 
 const longestValue = 60;
 
-/** Reads the value at a path of an unknown structure. */
 function valueAt(data: unknown, path: readonly PropertyKey[]): unknown {
 	let value = data;
 	for (const key of path) {
@@ -19,7 +18,7 @@
 	return value;
 }
 
-/** What cannot be written, as a list in lists ten thousand deep, is named by its type. */
+/** Serializes a value; one that cannot be serialized, such as a too deeply nested array, is replaced by its type. */
 function writeValue(value: unknown): string {
 	try {
 		return JSON.stringify(value) ?? 'nothing';
@@ -33,7 +32,7 @@
 	return text.length > longestValue ? `${text.slice(0, longestValue)}…` : text;
 }
 
-/** Lists every fault as `path: found VALUE, expected WHAT`; values are left out where `secret` is set. */
+/** Formats each issue as `PATH: found VALUE, expected: WHAT`; omits values if `secret` is set. */
 export function describeFaults(error: z.ZodError, data: unknown, secret = false): string[] {
 	const faults: string[] = [];
 	for (const issue of error.issues) {
@@ -45,7 +44,7 @@
 	return faults;
 }
 
-/** Returns the typed value or raises `code` with every fault named. */
+/** Returns the validated value; throws `code` with all errors if it is invalid. */
 export function check<Schema extends z.ZodType>(schema: Schema, data: unknown, code: Code, secret = false): z.infer<Schema> {
 	const result = schema.safeParse(data);
 	if (!result.success) {
@@ -55,7 +54,7 @@
 	return result.data;
 }
 
-/** Parses JSON text and checks it; `code` is raised for both kinds of fault. */
+/** Parses and validates JSON text; throws `code` if either fails. */
 export function checkJson<Schema extends z.ZodType>(schema: Schema, text: string, code: Code): z.infer<Schema> {
 	let data: unknown;
 	try {
--- a/packages/schema/src/codes.ts
+++ b/packages/schema/src/codes.ts
@@ -1,22 +1,19 @@
 /**
- * The one table of numbered result codes. Every refusal, alarm and error of
- * gatehead has its row here; docs/CODES.md is checked against it by a test.
- * Safety: the `ran` column is what a caller is told, so it may only say `no`
- * where the request order was provably never put on a socket to an endpoint.
+ * Result codes of all errors and log lines; a test checks docs/CODES.md
+ * against them. Safety: callers repeat a request on `ran: 'no'`, so a code may
+ * have it only if the request was never written to a socket of an endpoint.
  */
 
-/** Whether the request may have run at an endpoint, as told to its caller. */
+/** Whether the request may have run at an endpoint, as reported to its caller. */
 export type Ran = 'no' | 'yes' | 'unknown';
 
-/** One row of the table. */
 export type CodeRow = {
 	/** Stable number, never reused. */
 	readonly number: number;
-	/** HTTP status towards callers and operators; 0 where none is sent. */
+	/** HTTP status; 0 if the code is never sent in a response. */
 	readonly status: number;
-	/** What is true about the run when this code is given. */
 	readonly ran: Ran;
-	/** What happened and what to do about it. */
+	/** Cause and remedy, for callers and operators. */
 	readonly advice: string;
 };
 
@@ -324,17 +321,15 @@
 	},
 } as const satisfies Record<string, CodeRow>;
 
-/** The name of a result code. */
 export type Code = keyof typeof codes;
 
 function isCode(name: string): name is Code {
 	return Object.hasOwn(codes, name);
 }
 
-/** All code names in the table's order. */
 export const codeNames: readonly Code[] = Object.keys(codes).filter(name => isCode(name));
 
-/** Finds a code's name by its number, or undefined. */
+/** Finds a code by its number. */
 export function findCode(number: number): Code | undefined {
 	for (const name of codeNames) {
 		if (codes[name].number === number) {
--- a/packages/schema/src/docs.test.ts
+++ b/packages/schema/src/docs.test.ts
@@ -1,4 +1,4 @@
-/** The tables in docs/ say what the code says. */
+/** Guards against generated tables in docs/ that are out of date. */
 import {spawnSync} from 'node:child_process';
 import process from 'node:process';
 import {describe, it} from 'node:test';
--- a/packages/schema/src/event.ts
+++ b/packages/schema/src/event.ts
@@ -1,7 +1,6 @@
-/** Typed events of the time line, stamped with a hybrid logical clock. Neither safety nor efficiency rests on them. */
+/** Events of the timeline, ordered by a hybrid logical clock. */
 import {z} from 'zod';
 
-/** What can happen to a request, a lease, a host or a bundle. */
 export const eventKind = z.enum([
 	'requestArrived',
 	'requestRefused',
@@ -38,7 +37,7 @@
 	'messageReceived',
 ]);
 
-/** One event. `clock` is `wall ms . logical . host`, ordered as text. */
+/** One event. `clock` has the form `WALL_MS.LOGICAL.HOST` and sorts as text. */
 export const event = z.object({
 	clock: z.string(),
 	host: z.string(),
@@ -53,7 +52,5 @@
 	detail: z.string().optional(),
 });
 
-/** A kind of event. */
 export type EventKind = z.infer<typeof eventKind>;
-/** An event. */
 export type Event = z.infer<typeof event>;
--- a/packages/schema/src/failure.ts
+++ b/packages/schema/src/failure.ts
@@ -1,20 +1,19 @@
-/** The one error class of gatehead and the one function that raises it. Neither safety nor efficiency rests here. */
+/** The error class of gatehead. */
 import VError from 'verror';
 import {codes, type Code, type Ran} from './codes.js';
 
-/** Facts that go with a failure. Never holds a token or a prompt. */
+/** Details of a failure. Must not contain tokens or prompts. */
 export type FailureDetail = {
-	/** What exactly was wrong, for the reader of the message. */
+	/** Appended to the message. */
 	readonly detail?: string;
-	/** When the caller may come back, in milliseconds. */
+	/** Delay after which the caller may retry, in milliseconds. */
 	readonly retryAfterMs?: number;
-	/** What is known about the run, where it is better known than the table's row says. */
+	/** Overrides `ran` of the code when more is known. */
 	readonly ran?: Ran;
-	/** The error beneath. */
 	readonly cause?: unknown;
 };
 
-/** A numbered error. */
+/** An error with a result code. */
 export class Failure extends VError {
 	readonly code: Code;
 	readonly retryAfterMs: number | undefined;
@@ -31,23 +30,23 @@
 		this.detail = detail;
 	}
 
-	/** What the caller is told about the run. */
+	/** Whether the request may have run, as reported to the caller. */
 	get ran(): Ran {
 		return this.#ran;
 	}
 
-	/** HTTP status for this failure. */
+	/** HTTP status; 500 for a code without one. */
 	get status(): number {
 		return codes[this.code].status || 500;
 	}
 }
 
-/** Raises a numbered error. */
+/** Throws a `Failure`. */
 export function fail(code: Code, detail?: FailureDetail): never {
 	throw new Failure(code, detail);
 }
 
-/** Turns anything thrown into a numbered error. */
+/** Converts any thrown value to a `Failure`; `fallback` is the code of other errors. */
 export function toFailure(error: unknown, fallback: Code = 'internal'): Failure {
 	return error instanceof Failure ? error : new Failure(fallback, {cause: error, detail: error instanceof Error ? error.message : String(error)});
 }
--- a/packages/schema/src/generated.test.ts
+++ b/packages/schema/src/generated.test.ts
@@ -1,4 +1,4 @@
-/** Generated inputs: checks of outside data raise numbered errors and nothing else, and signatures cover every byte that counts. */
+/** Property tests. Guards against validation that throws anything but a `Failure`, and against signed bundles that open after a change. */
 import {generateKeyPairSync} from 'node:crypto';
 import {readFileSync} from 'node:fs';
 import {describe, it} from 'node:test';
@@ -15,9 +15,9 @@
 const options = {seed: 20_261_202, numRuns: 300};
 const example: unknown = JSON.parse(readFileSync(new URL('../../../examples/tour/bundle.json', import.meta.url), 'utf8'));
 
-describe('outside data', () => {
+describe('external data', () => {
 	for (const [name, schema] of Object.entries({bundle, settings})) {
-		it(`a ${name} of any JSON is taken or refused with a number`, () => {
+		it(`any JSON is accepted as ${name} or rejected with a result code`, () => {
 			fc.assert(fc.property(fc.json(), text => {
 				try {
 					checkJson(schema, text, 'bundleInvalid');
@@ -28,14 +28,14 @@
 		});
 	}
 
-	it('messages of any shape never pass as something else', () => {
+	it('arbitrary objects are never accepted as peer messages', () => {
 		fc.assert(fc.property(fc.array(fc.object()), batch => {
 			const {success} = peerBatch.safeParse(batch);
 			expect(success).toEqual(batch.length === 0);
 		}), options);
 	});
 
-	it('equal content has equal canonical text', () => {
+	it('equal values have equal canonical text', () => {
 		fc.assert(fc.property(fc.dictionary(fc.string(), fc.integer()), value => {
 			expect(toCanonicalJson(Object.fromEntries(Object.entries(value).toReversed()))).toEqual(toCanonicalJson(value));
 		}), options);
@@ -43,7 +43,7 @@
 });
 
 describe('signed bundles', () => {
-	it('open only unchanged', () => {
+	it('open only if unchanged', () => {
 		const {privateKey, publicKey} = generateKeyPairSync('ed25519');
 		const keys = [{name: 'operator', publicKey}];
 		const signed = signBundle(bundle.parse(example), 'operator', privateKey);
@@ -56,7 +56,7 @@
 			}
 
 			try {
-				const opened = openBundle(JSON.parse(changed) as typeof signed, keys); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- any shape must be refused
+				const opened = openBundle(JSON.parse(changed) as typeof signed, keys); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- invalid shapes must be rejected
 				expect(opened).toEqual(openBundle(signed, keys));
 			} catch (error) {
 				expect(error instanceof Error).toEqual(true);
--- a/packages/schema/src/hash-text.ts
+++ b/packages/schema/src/hash-text.ts
@@ -1,9 +1,9 @@
-/** A fast hash of text for spreading and hints, never for secrets or signatures. Efficiency only. */
+/** A fast, non-cryptographic hash for distribution and hints. */
 
 const offset = 2_166_136_261;
 const prime = 16_777_619;
 
-/** 32-bit FNV-1a with a final mix, so that near names spread evenly. */
+/** 32-bit FNV-1a with a finalizer, so that similar names are distributed evenly. */
 export function hashText(text: string): number {
 	let hash = offset;
 	for (let index = 0; index < text.length; index += 1) {
--- a/packages/schema/src/peer-message.ts
+++ b/packages/schema/src/peer-message.ts
@@ -1,16 +1,16 @@
 /**
- * Messages between hosts, over one long-lived gRPC stream a pair, packed by
- * msgpackr and checked here on arrival. Efficiency: nothing that these
- * messages say about who lives carries a promise.
+ * Messages between hosts, encoded by msgpackr and sent over one long-lived gRPC
+ * stream per pair; validated on receipt. Membership in them is only a hint:
+ * no safety property depends on it.
  */
 import {z} from 'zod';
 import {owner} from './engine-protocol.js';
 import {signedManifest} from './signed-bundle.js';
 
-/** What is known of a host: `alive`, `suspect`, `dead`, and `leaving` by a planned stop. */
+/** Membership state of a host; `leaving` during a planned stop. */
 export const memberState = z.enum(['alive', 'leaving', 'suspect', 'dead']);
 
-/** A host as its peers know it. A higher incarnation, then a higher counter, replaces what was known. */
+/** A host in the membership list. The record with the higher incarnation, then the higher counter, wins. */
 export const memberRecord = z.object({
 	host: z.string(),
 	hall: z.string(),
@@ -22,11 +22,11 @@
 	peerAddress: z.string(),
 	adminAddress: z.string(),
 	load: z.number(),
-	/** Absent: nothing worth telling. `away`: the directory turns this host away, which should read it for others; `answers`: it has answered this host since another one said so. */
+	/** `away`: the directory rejects this host, which should read it for others; `answers`: it has answered this host since another host reported `away`. */
 	directory: z.enum(['away', 'answers']).optional(),
 });
 
-/** A request that waits for its turn at a cell's keeper. */
+/** A request for a lease, queued at a cell's keeper. */
 export const leaseAsk = z.object({
 	request: z.string(),
 	attempt: z.number().int(),
@@ -35,20 +35,20 @@
 	adapter: z.string().optional(),
 	promptTokens: z.number(),
 	maxTokens: z.number(),
-	/** Digests of the prompt's leading blocks, longest first match wins. */
+	/** Digests of the prompt's leading blocks; the longest matching prefix wins. */
 	blocks: z.array(z.string()).max(64),
-	/** Time left to the first-token target when the ask was sent, in milliseconds. */
+	/** Time left until the first-token target when the message was sent, in milliseconds. */
 	slackMs: z.number(),
-	/** True once the caller has been promised an answer: it is not refused any more. */
+	/** True once the request is admitted: it is no longer rejected. */
 	accepted: z.boolean(),
 });
 
-/** A lease that its holder still uses, as it tells the keeper each tick. */
+/** A lease in use; its holder renews it at the keeper with each heartbeat. */
 export const leaseClaim = z.object({
 	request: z.string(), attempt: z.number().int(), stage: z.enum(['prefill', 'ready', 'decode']), engine: z.string(), prefillEngine: z.string(), maxTokens: z.number(), priority: z.number(), caller: z.string(), tokens: z.number(),
 });
 
-/** Every message, by kind. */
+/** A message between hosts. */
 export const peerMessage = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('hello'), from: owner, record: memberRecord}),
 	z.object({
@@ -90,18 +90,13 @@
 	}),
 ]);
 
-/** What travels in one gRPC message: all that was said to a peer in one turn. */
+/** One gRPC message: all messages to a peer from one turn of the event loop. */
 export const peerBatch = z.array(peerMessage).max(10_000);
 
-/** A member's state. */
 export type MemberState = z.infer<typeof memberState>;
-/** A host as its peers know it. */
 export type MemberRecord = z.infer<typeof memberRecord>;
-/** A request that waits for its turn. */
 export type LeaseAsk = z.infer<typeof leaseAsk>;
-/** A lease in use. */
 export type LeaseClaim = z.infer<typeof leaseClaim>;
-/** A message between hosts. */
 export type PeerMessage = z.infer<typeof peerMessage>;
 /** The message of one kind. */
 export type PeerMessageOf<Kind extends PeerMessage['kind']> = Extract<PeerMessage, {kind: Kind}>;
--- a/packages/schema/src/prompt-blocks.ts
+++ b/packages/schema/src/prompt-blocks.ts
@@ -1,22 +1,19 @@
-/**
- * Prompt length in tokens and the chain of digests by which engines name the
- * leading blocks that they cache. Efficiency: an estimate prices work, no promise rests on it.
- */
+/** Estimates of prompt length, and chained digests by which engines identify cached prefix blocks. */
 import {hashText} from './hash-text.js';
 
 const charactersPerToken = 4;
-/** Tokens of one block of the prefix cache. */
+/** Size of a block of the prefix cache, in tokens. */
 export const blockTokens = 128;
 const blockCharacters = blockTokens * charactersPerToken;
 const base36 = 36;
 const mostBlocks = 64;
 
-/** Estimated tokens of a text. */
+/** Estimates the number of tokens of a text. */
 export function countTokens(text: string): number {
 	return Math.ceil(text.length / charactersPerToken);
 }
 
-/** Digests of a prompt's leading whole blocks; each covers all before it. At most 64. */
+/** Digests of a prompt's leading complete blocks, at most 64; each digest also covers all earlier blocks. */
 export function digestBlocks(prompt: string): string[] {
 	const blocks: string[] = [];
 	let chain = '';
--- a/packages/schema/src/relay-settings.ts
+++ b/packages/schema/src/relay-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of one relay process. Its addresses and data hall come from whoever starts it. Neither safety nor efficiency rests here: each bound is kept where it is read. */
+/** Settings of a relay process. */
 import {z} from 'zod';
 import {address} from './address.js';
 import {tls} from './settings.js';
@@ -6,76 +6,76 @@
 const milliseconds = z.number().nonnegative().max(3_600_000);
 const count = z.number().int().positive().max(100_000_000);
 
-/** Own addresses: towards callers, for checks of readiness, for lookups, towards other hosts, for metrics. `advertisedPeer`: where other hosts reach this one, if not at `peer` itself. */
+/** Listen addresses. `advertisedPeer`: the address at which other hosts reach `peer`, if it differs. */
 const listen = z.strictObject({
 	caller: address, ready: address, lookup: address, peer: address, advertisedPeer: address.optional(), metrics: address.optional(),
 });
 
-/** Times. Defaults come from the measured rounds in docs/RESULTS.md where no other source is named. */
 const timing = z.strictObject({
-	/** Interval of heartbeats between hosts: three missed ones make a host suspect well within a caller's patience. */
+	/** Interval of heartbeats between hosts. */
 	tickMs: milliseconds.default(700),
-	/** Silence after which a host is suspect, and again until it is held to be gone. */
+	/** Time without heartbeats after which a host is suspect, and the same time again until it is dead. */
 	suspectMs: milliseconds.default(2100),
-	/** A tick later than this means that the process was paused. */
+	/** A tick later than this indicates that the process was paused. */
 	lateWakeMs: milliseconds.default(1000),
-	/** Longest wait of one watch at the directory; a silent directory is noticed after it. */
+	/** Maximum duration of a long poll of the directory, and so of the time to detect that it does not respond. */
 	watchMs: milliseconds.default(6000),
-	/** The same at the one host that looks after the others' watches: open connections may fall silent at all hosts at once, and a configuration is in force within 2 s all the same. Costs two calls a second, and none where something changes more often. */
+	/** `watchMs` of the primary reader: bounds the delay of a configuration when the connections of all hosts stall at once. */
 	shortWatchMs: milliseconds.default(500),
-	/** Time that the directory gets to answer a list, and a watch beyond its wait. */
+	/** Timeout of a list request to the directory, and of a watch request beyond its wait. */
 	directoryAnswerMs: milliseconds.default(1500),
-	/** First and longest pause between tries to reach the directory. */
+	/** Initial delay between attempts to reach the directory. */
 	directoryRetryMs: milliseconds.default(100),
+	/** Maximum delay between attempts to reach the directory. */
 	directoryRetryMostMs: milliseconds.default(1000),
-	/** Time that a connection to an endpoint may take: a hundred times the way between halls. */
+	/** Timeout for connecting to an endpoint. */
 	connectMs: milliseconds.default(250),
-	/** Time for which callers may keep a lookup's answer. */
+	/** Time for which callers may cache a lookup. */
 	lookupTtlMs: milliseconds.default(1000),
-	/** Most that callers stretch that time, as a multiple: some keep an answer three times as long. A planned stop accepts requests for that long. */
+	/** Maximum factor by which callers exceed `lookupTtlMs`; a stopping host accepts requests for that time. */
 	lookupStretch: z.number().min(1).default(3),
-	/** Time from the order to stop until the process is ended. */
+	/** Time between the stop signal and the forced end of the process. */
 	graceMs: milliseconds.default(8000),
 });
 
-/** Bounds on what one process takes in. */
+/** Resource limits of one process. */
 const limits = z.strictObject({
 	headerBytes: count.default(65_536),
 	bodyBytes: count.default(16_777_216),
 	connections: count.default(3500),
 	requests: count.default(1500),
-	/** Unread bytes of one answer from which on its caller counts as gone. */
+	/** Buffered bytes of a response beyond which its caller is considered gone. */
 	unreadBytes: count.default(1_048_576),
 	peerMessageBytes: count.default(8_000_000),
-	/** Messages about its load that a host sends its peers a second, besides three seconds' worth saved up: 0.5 ms of processor time each (docs/CAPACITY.md); beyond that they are gathered. */
+	/** Load messages to peers per second, with a burst of three seconds; further ones are batched. */
 	loadMessages: count.default(48),
 	timelineEvents: count.default(1024),
-	/** Log lines a second of one kind, successes and failures; beyond that they are counted. */
+	/** Log lines per second of one code; further ones are counted only. */
 	logLines: count.default(40),
-	/** Bytes of log lines that wait for their reader; beyond that lines are dropped and counted. */
+	/** Buffered bytes of log lines beyond which lines are dropped and counted. */
 	logBytes: count.default(262_144),
 });
 
-/** The bound on second sends that all hosts share. */
+/** The retry budget that all hosts share. */
 const retry = z.strictObject({
 	ratio: z.number().min(0).max(10).default(0.2),
 	allowance: z.number().min(0).default(50),
 	windowMs: milliseconds.default(10_000),
 });
 
-/** What binds all hosts together on configurations, keys and quotas of workspaces. */
+/** Guarantees over all hosts on configurations, keys and quotas. */
 const access = z.strictObject({
-	/** Time after which no host runs a request whose key was taken away, whether or not it has heard of that, in milliseconds: an operator's promise. Absent: only hosts that hear of it are bound. */
+	/** Time after the revocation of a key by which every host rejects it, even without having received the revocation, in milliseconds. If absent, only hosts that have received it do. */
 	revocationMs: milliseconds.optional(),
-	/** Time within which a published configuration is in force at all hosts that can hear of it, in milliseconds: an operator's promise. What a host calls wrong rests on evidence younger than that. */
+	/** Time within which a published configuration is active at all reachable hosts, in milliseconds. A host rejects a request for good only on evidence younger than this. */
 	applyMs: milliseconds.min(500).default(2000),
-	/** Time over which use is summed against a quota, in milliseconds; part by which the sum may exceed it, and what may come besides in the quota's unit: operators allow it since hosts count apart. */
+	/** Window over which usage is summed against a quota, in milliseconds. As hosts count separately, the sum may exceed the quota by the fraction `quotaExcess` and by `quotaAllowance` in the quota's unit. */
 	quotaWindowMs: milliseconds.min(1000).default(8000),
 	quotaExcess: z.number().nonnegative().max(10).default(0.25),
 	quotaAllowance: z.number().nonnegative().default(0),
 });
 
-/** Mechanisms that an experiment can switch off, to measure what each is worth; all are on elsewhere. */
+/** Mechanisms that an ablation experiment can disable. */
 export const mechanism = z.enum([
 	'reservations', 'readingApart', 'earlyRefusal', 'secondTries', 'resumedTurns', 'comeBackTimes', 'peerUse', 'peerReadings', 'peerWaiting', 'pauses', 'pauseNews', 'errorRetries', 'slowCopies', 'continuing', 'stageOrders', 'nearHalls', 'quotaKeepers', 'peerEvidence', 'crashGuard',
 ]);
@@ -86,25 +86,24 @@
 	hall: z.string(),
 	region: z.string(),
 	listen,
-	/** Peer addresses to greet, until other hosts are known; they may be stale. */
+	/** Peer addresses to contact until other hosts are known; they may be stale. */
 	seeds: z.array(address).max(64).default([]),
 	keys: z.strictObject({tls: tls.optional()}).prefault({}),
-	/** Where counters go besides as StatsD datagrams. */
+	/** Address of a StatsD server for counters and durations. */
 	statsd: address.optional(),
-	/** Share of a model's replicas that read prompts, until a dozen requests have shown the paces of both parts: a quarter suits prompts that keep their reader busy for a quarter to a third of the time for which they hold their share of decode memory (0.12 s and 0.44 s). */
+	/** Initial fraction of a model's replicas for prefill, until the duration of both stages is known from requests. */
 	prefillShare: z.number().min(0.05).max(0.95).default(0.25),
 	logLevel: z.enum(['error', 'warn', 'info', 'debug']).default('info'),
 	timing: timing.prefault({}),
 	limits: limits.prefault({}),
 	retry: retry.prefault({}),
 	access: access.prefault({}),
-	/** For measurements alone (scripts/ablate.mjs): what is switched off. */
+	/** Disabled mechanisms, for ablation experiments only (scripts/ablate.mjs). */
 	experiments: z.strictObject({off: z.array(mechanism).default([])}).prefault({}),
 });
 
-/** A mechanism by its name in experiments. */
 export type Mechanism = z.infer<typeof mechanism>;
-/** Checked settings. */
+/** Validated settings. */
 export type RelaySettings = z.infer<typeof relaySettings>;
-/** Settings as written, before defaults. */
+/** Settings as written, before defaults are applied. */
 export type RelaySettingsDraft = z.input<typeof relaySettings>;
--- a/packages/schema/src/relay-status.ts
+++ b/packages/schema/src/relay-status.ts
@@ -1,45 +1,44 @@
-/** What a relay tells operators of itself, beside its figures. Reads only; neither safety nor efficiency rests here. */
+/** Status of a relay for operators, beside its metrics. */
 import {z} from 'zod';
 import {memberState} from './peer-message.js';
 
-/** A signal of an endpoint in force at one host: a limit in requests a second, a drain notice, or a backoff period; `source`: the host that received it, `own` for this one. */
+/** An active signal of an endpoint: a rate limit in requests per second, a drain notice, or a backoff period. `source`: the host that received it, `own` for this one. */
 export const signalState = z.object({
 	endpoint: z.string(),
 	signal: z.enum(['limit', 'drain', 'backoff']),
 	value: z.number().optional(),
-	/** Rest of a backoff period, in milliseconds. */
+	/** Time left of a backoff period, in milliseconds. */
 	leftMs: z.number().optional(),
 	source: z.string(),
 });
 
-/** A relay's view of itself, the others and the endpoints. */
+/** Status of a relay, and of the other hosts and endpoints as it sees them. */
 export const relayStatus = z.object({
 	host: z.string(),
 	incarnation: z.number(),
 	hall: z.string(),
 	isReady: z.boolean(),
-	/** Version of the configuration in force; 0: none. */
+	/** Version of the active configuration; 0 if there is none. */
 	routingVersion: z.number(),
-	/** Revision up to which the directory is known here; -1: not at all. */
+	/** Last known revision of the directory; -1 before the first read. */
 	directoryRevision: z.number(),
-	/** How often the directory had come back from a copy then, as it counts; absent: it does not say, or an earlier version answers. */
+	/** Epoch of that revision, which the directory increments when it is restored from a backup; absent if not reported. */
 	directoryEpoch: z.number().optional(),
 	isDirectoryDown: z.boolean(),
-	/** Requests in work, and those of them that wait for decode memory. */
+	/** Active requests. */
 	open: z.number(),
+	/** Active requests that wait for decode memory. */
 	waiting: z.number(),
-	/** Second sends left to this host, least of all services. */
+	/** Retry budget left at this host, the minimum over all services. */
 	retryLeft: z.number(),
-	/** Subset of the fleet, as its number and how many there are. */
+	/** Index of this host's subset of the fleet, and the number of subsets. */
 	subset: z.object({own: z.number(), count: z.number()}),
 	members: z.array(z.object({host: z.string(), state: memberState})),
-	/** Endpoints that take new work, and those of them that are set aside. */
+	/** Ready endpoints by service, and how many of them are paused. */
 	services: z.array(z.object({service: z.string(), ready: z.number(), paused: z.number()})),
-	/** Signals of endpoints in force. */
+	/** Active signals of endpoints. */
 	signals: z.array(signalState).default([]),
 });
 
-/** A signal of an endpoint in force. */
 export type SignalState = z.infer<typeof signalState>;
-/** A relay's view. */
 export type RelayStatus = z.infer<typeof relayStatus>;
--- a/packages/schema/src/routing.ts
+++ b/packages/schema/src/routing.ts
@@ -1,7 +1,7 @@
 /**
- * What the relay routes by: the configuration in force and the endpoints now
- * known, as gatehead names them. Whoever publishes them translates into these
- * schemas. Safety: `kind` and `isResumable` say what may run more than once.
+ * Routing configuration and endpoints, independent of the platform that
+ * publishes them. Safety: `kind` and `isResumable` determine which requests may
+ * run more than once.
  */
 import {z} from 'zod';
 import {address} from './address.js';
@@ -10,16 +10,16 @@
 const name = z.string().min(1).max(200);
 const milliseconds = z.number().nonnegative();
 const count = z.number().int().nonnegative();
-/** Longest id: a name, and the instant of a start. */
+/** Maximum length of an endpoint id: a name and a start time. */
 export const longestId = 240;
 
-/** `stream` answers with events; `repeatable` may run more than once; `once` runs at most once. */
+/** `stream`: responds with events; `repeatable`: may run more than once; `once`: runs at most once. */
 export const routeKind = z.enum(['stream', 'repeatable', 'once']);
 
-/** One of the services that share a route's requests. */
+/** A service of a route and its weight. */
 export const serviceShare = z.object({service: name, weight: z.number().nonnegative()});
 
-/** Where requests of one authority and path prefix go. */
+/** Routes requests by authority and path prefix. */
 export const route = z.object({
 	name,
 	authority: z.string(),
@@ -27,121 +27,111 @@
 	kind: routeKind,
 	/** Whether a stream may continue at another endpoint after its last event. */
 	isResumable: z.boolean(),
-	/** Most endpoints that may run one request. */
+	/** Maximum number of endpoints that may run one request. */
 	maxAttempts: count.min(1),
-	/** Longest time that one request is held, in milliseconds. */
+	/** Request timeout, in milliseconds. */
 	timeoutMs: milliseconds,
-	/** Time within which the first byte is worth its full credit, in milliseconds. */
+	/** Target time to the first byte, in milliseconds. */
 	targetMs: milliseconds,
-	/** Longest pause between two events of a stream that is in time, in milliseconds; absent: no bound. */
+	/** Target for the maximum gap between two events of a stream, in milliseconds; none if absent. */
 	gapTargetMs: milliseconds.optional(),
 	priority: count,
-	/** Requests need no key; absent: they do, where the configuration has workspaces. */
+	/** Whether requests need no key; if absent, they need one if the configuration has workspaces. */
 	isPublic: z.boolean().optional(),
 	shares: z.array(serviceShare).min(1),
 });
 
-/** What a quota counts: requests, or the tokens of prompts and answers. */
+/** What a quota counts: requests, or tokens of prompts and responses. */
 export const quotaUnit = z.enum(['requests', 'tokens']);
 
-/** What the requests of one workspace may use at all hosts together: a rate, and what may come at once above it. */
+/** Limit of one workspace over all hosts: a rate, and a burst above it. */
 export const quota = z.object({
 	unit: quotaUnit,
 	ratePerS: z.number().positive(),
 	burst: z.number().nonnegative(),
-	/** Tokens that a request counts which does not say how many it has. */
+	/** Tokens charged for a request that does not state its number of tokens. */
 	unnamedTokens: z.number().nonnegative(),
 });
 
 /** Callers who share keys, a priority and a quota. */
 export const workspace = z.object({
 	name,
-	/** Digests of the keys that its callers show; the keys themselves are kept nowhere. */
+	/** Digests of its keys; the keys themselves are never stored. */
 	keyDigests: z.array(z.string()),
-	/** 0 goes first; it counts before the route's. */
+	/** 0 is the highest; takes precedence over the priority of the route. */
 	priority: count,
-	/** Absent: no limit. */
+	/** Unlimited if absent. */
 	quota: quota.optional(),
 });
 
-/** Engines that read prompts and generate apart. */
+/** Engines of a model with separate prefill and decode. */
 export const enginePool = z.object({
-	/** Memory of one engine, in tokens. */
+	/** KV cache memory of one engine, in tokens. */
 	capacityTokens: count,
 	/** How long a prefill result is kept, in milliseconds. */
 	resultLifeMs: milliseconds,
-	/** Longest reservation of memory, in milliseconds; 0: none is offered. */
+	/** Maximum duration of a memory reservation, in milliseconds; 0 if reservations are not supported. */
 	reservationMs: milliseconds,
 });
 
-/** A service and what bounds its use. */
+/** A service and its limits. */
 export const service = z.object({
 	name,
-	/** Connections that one endpoint takes from all hosts together. */
+	/** Maximum number of connections to one endpoint over all hosts. */
 	maxConnections: count.min(1),
-	/** Present where the service is a model. */
+	/** Present if the service is a model. */
 	engine: enginePool.optional(),
 });
 
-/** Bounds on what callers may send. */
+/** Limits on requests and connections of callers. */
 export const callerLimits = z.object({
 	headerBytes: count, bodyBytes: count, headerMs: milliseconds, idleMs: milliseconds,
 });
 
-/** A whole configuration; a higher version replaces a lower one. */
+/** A configuration; a higher version replaces a lower one. */
 export const routing = z.object({
 	version: count,
 	routes: z.array(route),
 	services: z.array(service),
 	callerLimits,
-	/** Absent: no request needs a key. */
+	/** If absent, no request needs a key. */
 	workspaces: z.array(workspace).optional(),
 });
 
-/** One start of one endpoint: what starts again is another, also under the name that it had. Unlike its name, its id is kept for it alone. */
+/** One incarnation of an endpoint: each start has a unique id, but can reuse the name of an earlier one. */
 export const endpoint = z.object({
 	id: z.string().min(1).max(longestId),
-	/** The name that it answers to, which its next start may have too; absent: its id. */
+	/** The instance name, which later incarnations may reuse; the id if absent. */
 	instance: name.optional(),
 	service: name,
 	address,
 	hall: z.string(),
-	/** `leaving`: no new work. */
+	/** `leaving`: gets no new requests. */
 	state: z.enum(['ready', 'leaving']),
-	/** What an engine does; absent at plain services. */
+	/** Stage of an engine; absent for services without a model. */
 	stage: z.enum(['prefill', 'decode']).optional(),
 	slots: count,
-	/** Revision of the directory at which its entry was made anew: it lapses when the endpoint ends. Absent: not known. */
+	/** Directory revision at which its entry was created; the entry expires when the endpoint ends. Absent if unknown. */
 	listedSince: z.number().int().optional(),
-	/** Its entry cannot be read now: it may still serve, and gets nothing new. */
+	/** Whether its entry cannot be parsed: it may still serve, but gets no new requests. */
 	isUnreadable: z.boolean().optional(),
 });
 
-/** An endpoint with the position in the directory's history at which it was last written. */
+/** An endpoint and the position in the directory's history at which it was last written. */
 export const listedEndpoint = position.extend({endpoint});
 
-/** What a route's requests may do. */
 export type RouteKind = z.infer<typeof routeKind>;
-/** What a quota counts. */
 export type QuotaUnit = z.infer<typeof quotaUnit>;
-/** A workspace's limit. */
 export type Quota = z.infer<typeof quota>;
-/** Callers who share keys. */
 export type Workspace = z.infer<typeof workspace>;
-/** Where requests go. */
 export type Route = z.infer<typeof route>;
-/** A service. */
 export type Service = z.infer<typeof service>;
-/** Bounds on callers. */
 export type CallerLimits = z.infer<typeof callerLimits>;
-/** A whole configuration. */
 export type Routing = z.infer<typeof routing>;
-/** One run of one endpoint. */
 export type Endpoint = z.infer<typeof endpoint>;
-/** An endpoint and its position. */
 export type ListedEndpoint = z.infer<typeof listedEndpoint>;
 
-/** The name that an endpoint answers to. */
+/** The instance name of an endpoint. */
 export function instanceOf({id, instance}: Pick<Endpoint, 'id' | 'instance'>): string {
 	return instance ?? id;
 }
--- a/packages/schema/src/signed-bundle.ts
+++ b/packages/schema/src/signed-bundle.ts
@@ -1,7 +1,7 @@
 /**
- * A bundle as it travels: a small signed manifest that names each section by
- * its digest, and the sections. Safety: `openBundle` is the only way from
- * bytes to a bundle in force, and it rests on the signature alone.
+ * Signed bundles: a small signed manifest with the digest of each section, and
+ * the sections. Safety: a bundle becomes active only by `openBundle`, which
+ * verifies the signature and all digests.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -13,12 +13,11 @@
 import {check, checkJson} from './check.js';
 import {fail} from './failure.js';
 
-/** Sections in which a bundle travels; an unchanged one is not sent again. */
+/** Sections of a bundle, transferred separately so that unchanged ones are not sent again. */
 export const sectionNames = ['models', 'engines', 'services', 'callers', 'rules'] as const;
 
 const digest = z.string().regex(/^[0-9a-f]{64}$/v, '64 hexadecimal digits');
 
-/** Deployment, version and the digest of each section. */
 export const manifest = z.strictObject({
 	deployment: z.string(),
 	version: z.number().int().positive(),
@@ -34,25 +33,22 @@
 	signature: z.string().max(200),
 });
 
-/** The published file: a signed manifest and each section's canonical text by digest. */
+/** A signed manifest and the canonical text of each section by digest, as published. */
 export const signedBundle = signedManifest.extend({
 	sections: z.record(digest, z.string()),
 });
 
-/** A manifest. */
 export type Manifest = z.infer<typeof manifest>;
-/** A signed manifest. */
 export type SignedManifest = z.infer<typeof signedManifest>;
-/** A signed bundle. */
 export type SignedBundle = z.infer<typeof signedBundle>;
 
-/** An operator's key as hosts know it. */
+/** An operator's key for verification. */
 export type OperatorKey = {
 	readonly name: string;
 	readonly publicKey: KeyObject;
 };
 
-/** Splits a checked bundle into sections and signs its manifest. */
+/** Splits a validated bundle into sections and signs its manifest. */
 export function signBundle(value: Bundle, key: string, privateKey: KeyObject): SignedBundle {
 	const sections: Record<string, string> = {};
 	const digests: Record<string, string> = {};
@@ -68,7 +64,7 @@
 	};
 }
 
-/** Checks a manifest's signature against the known keys and returns it, or raises `bundleSignature`. */
+/** Verifies a manifest's signature against the known keys and returns the manifest. Throws `bundleSignature` or `bundleInvalid`. */
 export function openManifest(signed: SignedManifest, keys: readonly OperatorKey[]): Manifest {
 	const key = keys.find(each => each.name === signed.key);
 	if (key === undefined || !verify(null, Buffer.from(signed.manifest), key.publicKey, Buffer.from(signed.signature, 'base64'))) {
@@ -78,12 +74,12 @@
 	return checkJson(manifest, signed.manifest, 'bundleInvalid');
 }
 
-/** Digests that a manifest names and `sections` lacks. */
+/** Digests of the sections that are in the manifest but not in `sections`. */
 export function missingSections(opened: Manifest, sections: Readonly<Record<string, string>>): string[] {
 	return Object.values(opened.sections).filter(each => sections[each] === undefined);
 }
 
-/** Checks signature and sections and returns the bundle. */
+/** Verifies signature and section digests and returns the bundle. Throws `bundleSignature` or `bundleInvalid`. */
 export function openBundle(signed: SignedBundle, keys: readonly OperatorKey[]): Bundle {
 	const opened = openManifest(signed, keys);
 	const parts: Record<string, unknown> = {deployment: opened.deployment, version: opened.version};
@@ -91,7 +87,7 @@
 		const expected = opened.sections[section];
 		const text = signed.sections[expected];
 		if (text === undefined || digestOf(text) !== expected) {
-			fail('bundleInvalid', {detail: `section ${section} is missing or has another digest`});
+			fail('bundleInvalid', {detail: `section ${section} is missing or does not match its digest`});
 		}
 
 		parts[section] = JSON.parse(text);
@@ -100,7 +96,7 @@
 	return check(bundle, parts, 'bundleInvalid');
 }
 
-/** Reads an Ed25519 public key from PEM text. */
+/** Reads an Ed25519 public key in PEM format. Throws `keyInvalid`. */
 export function readOperatorKey(name: string, pem: string): OperatorKey {
 	try {
 		const publicKey = createPublicKey(pem);
@@ -111,5 +107,5 @@
 		fail('keyInvalid', {detail: `operator key ${name}`, cause: error});
 	}
 
-	return fail('keyInvalid', {detail: `operator key ${name}: Ed25519 public key in PEM form`});
+	return fail('keyInvalid', {detail: `operator key ${name}: not an Ed25519 public key in PEM format`});
 }
