--- a/packages/relay/src/front/reply.ts
+++ b/packages/relay/src/front/reply.ts
@@ -23,8 +23,8 @@
 };
 
 /** An endpoint's headers without the hop-by-hop ones. */
-function forwardedHeaders(answer: IncomingMessage, omitsContentLength: boolean): string[] {
-	return forwardHeaders(answer, name => !(omitsContentLength && name === 'content-length'));
+function forwardedHeaders(endpointResponse: IncomingMessage, omitsContentLength: boolean): string[] {
+	return forwardHeaders(endpointResponse, name => !(omitsContentLength && name === 'content-length'));
 }
 
 export class Reply {
@@ -59,18 +59,18 @@
 	}
 
 	/** Forwards the head of an endpoint's response; `length` sets Content-Length when the body is already buffered. */
-	forwardHead(answer: IncomingMessage, length?: number): void {
+	forwardHead(endpointResponse: IncomingMessage, length?: number): void {
 		if (length === undefined) {
-			this.#writeHead(answer.statusCode ?? badGateway, forwardedHeaders(answer, false));
+			this.#writeHead(endpointResponse.statusCode ?? badGateway, forwardedHeaders(endpointResponse, false));
 			return;
 		}
 
-		this.#writeHead(answer.statusCode ?? badGateway, [...forwardedHeaders(answer, true), 'Content-Length', String(length)]);
+		this.#writeHead(endpointResponse.statusCode ?? badGateway, [...forwardedHeaders(endpointResponse, true), 'Content-Length', String(length)]);
 	}
 
 	/** Forwards the head of a stream without Content-Length, as the length can change when the stream continues at another endpoint. */
-	forwardStreamHead(answer: IncomingMessage): void {
-		this.#writeHead(answer.statusCode ?? badGateway, forwardedHeaders(answer, true));
+	forwardStreamHead(endpointResponse: IncomingMessage): void {
+		this.#writeHead(endpointResponse.statusCode ?? badGateway, forwardedHeaders(endpointResponse, true));
 	}
 
 	/** Writes a part of the body; does nothing after the caller disconnected. */
--- a/packages/schema/src/address.ts
+++ b/packages/schema/src/address.ts
@@ -2,13 +2,13 @@
 import {isIP} from 'node:net';
 import {z} from 'zod';
 
-const largestPort = 65_535;
+const maxPort = 65_535;
 
 function isAddress(text: string): boolean {
 	const colon = text.lastIndexOf(':');
 	const port = Number(text.slice(colon + 1));
 	const ip = text.slice(0, colon).replace(/^\[(?<inner>.*)\]$/v, '$<inner>');
-	return colon > 0 && isIP(ip) !== 0 && Number.isInteger(port) && port >= 0 && port <= largestPort;
+	return colon > 0 && isIP(ip) !== 0 && Number.isInteger(port) && port >= 0 && port <= maxPort;
 }
 
 /** `IP:PORT`, with brackets around an IPv6 address; port 0 selects a free port. */
--- a/packages/schema/src/bundle.ts
+++ b/packages/schema/src/bundle.ts
@@ -99,8 +99,8 @@
 	callers: z.array(caller).min(1),
 	rules,
 }).superRefine((value, context) => {
-	for (const fault of findFaults(value)) {
-		context.addIssue({code: 'custom', path: [...fault.path], message: fault.expected});
+	for (const issue of findIssues(value)) {
+		context.addIssue({code: 'custom', path: [...issue.path], message: issue.expected});
 	}
 });
 
@@ -121,7 +121,7 @@
 	readonly expected: string;
 };
 
-type Parts = {
+type BundleSections = {
 	readonly models: readonly Model[];
 	readonly engines: readonly Engine[];
 	readonly services: readonly Service[];
@@ -129,18 +129,18 @@
 	readonly rules: Rules;
 };
 
-function * findRepeated(section: string, names: readonly string[]): Generator<BundleIssue> {
+function * findDuplicates(section: string, names: readonly string[]): Generator<BundleIssue> {
 	const seen = new Set<string>();
 	for (const [index, each] of names.entries()) {
 		if (seen.has(each)) {
-			yield {path: [section, index], expected: `a unique name, ${each} is used twice`};
+			yield {path: [section, index], expected: `a unique value, ${each} is used twice`};
 		}
 
 		seen.add(each);
 	}
 }
 
-function * findEngineFaults({models, engines}: Parts): Generator<BundleIssue> {
+function * findEngineIssues({models, engines}: BundleSections): Generator<BundleIssue> {
 	for (const [index, each] of engines.entries()) {
 		const served = models.find(candidate => candidate.name === each.model);
 		if (served === undefined) {
@@ -156,17 +156,17 @@
 	}
 }
 
-function * findRoleFaults({models, engines}: Parts): Generator<BundleIssue> {
+function * findRoleIssues({models, engines}: BundleSections): Generator<BundleIssue> {
 	for (const [index, each] of models.entries()) {
-		for (const needed of role.options) {
-			if (!engines.some(candidate => candidate.model === each.name && candidate.role === needed)) {
-				yield {path: ['models', index], expected: `at least one ${needed} engine for model ${each.name}`};
+		for (const requiredRole of role.options) {
+			if (!engines.some(candidate => candidate.model === each.name && candidate.role === requiredRole)) {
+				yield {path: ['models', index], expected: `at least one ${requiredRole} engine for model ${each.name}`};
 			}
 		}
 	}
 }
 
-function * findTargetFaults({callers, rules}: Parts): Generator<BundleIssue> {
+function * findTargetIssues({callers, rules}: BundleSections): Generator<BundleIssue> {
 	for (const [index, each] of callers.entries()) {
 		if (!rules.targets.some(candidate => candidate.priority === each.priority)) {
 			yield {path: ['callers', index, 'priority'], expected: 'a priority that has a target in rules.targets'};
@@ -174,15 +174,15 @@
 	}
 }
 
-function * findFaults(parts: Parts): Generator<BundleIssue> {
-	yield * findRepeated('models', parts.models.map(each => each.name));
-	yield * findRepeated('engines', parts.engines.map(each => each.name));
-	yield * findRepeated('services', parts.services.map(each => each.name));
-	yield * findRepeated('callers', parts.callers.map(each => each.name));
-	yield * findRepeated('callers', parts.callers.map(each => each.tokenDigest));
-	yield * findEngineFaults(parts);
-	yield * findRoleFaults(parts);
-	yield * findTargetFaults(parts);
+function * findIssues(sections: BundleSections): Generator<BundleIssue> {
+	yield * findDuplicates('models', sections.models.map(each => each.name));
+	yield * findDuplicates('engines', sections.engines.map(each => each.name));
+	yield * findDuplicates('services', sections.services.map(each => each.name));
+	yield * findDuplicates('callers', sections.callers.map(each => each.name));
+	yield * findDuplicates('callers', sections.callers.map(each => each.tokenDigest));
+	yield * findEngineIssues(sections);
+	yield * findRoleIssues(sections);
+	yield * findTargetIssues(sections);
 }
 
 /** Latency targets of a priority. The schema guarantees one for each priority in use; for any other, returns the last. */
--- a/packages/schema/src/caller-protocol.ts
+++ b/packages/schema/src/caller-protocol.ts
@@ -18,23 +18,23 @@
 	forwarded: 'gatehead-forwarded',
 } as const;
 
-const longestPrompt = 4_000_000;
-const mostTokens = z.number().int().positive().max(1_000_000).default(256);
+const maxPromptLength = 4_000_000;
+const maxTokens = z.number().int().positive().max(1_000_000).default(256);
 
-const common = {
+const commonFields = {
 	model: z.string().max(200),
-	max_tokens: mostTokens,
+	max_tokens: maxTokens,
 	stream: z.boolean().default(false),
 	adapter: z.string().max(200).optional(),
 };
 
 /** Body of `POST /v1/completions`. Unknown fields are ignored. */
-export const completionBody = z.object({...common, prompt: z.string().min(1).max(longestPrompt)});
+export const completionBody = z.object({...commonFields, prompt: z.string().min(1).max(maxPromptLength)});
 
 /** Body of `POST /v1/chat/completions`. */
 export const chatBody = z.object({
-	...common,
-	messages: z.array(z.object({role: z.string().max(40), content: z.string().max(longestPrompt)})).min(1).max(1000),
+	...commonFields,
+	messages: z.array(z.object({role: z.string().max(40), content: z.string().max(maxPromptLength)})).min(1).max(1000),
 });
 
 /** Response of `GET /v1/hosts`: addresses in the order to try them, valid for `ttlMs`, each with a ticket. */
--- a/packages/schema/src/check.ts
+++ b/packages/schema/src/check.ts
@@ -3,7 +3,7 @@
 import {type Code} from './codes.js';
 import {fail} from './failure.js';
 
-const longestValue = 60;
+const maxValueLength = 60;
 
 function valueAt(data: unknown, path: readonly PropertyKey[]): unknown {
 	let value = data;
@@ -19,7 +19,7 @@
 }
 
 /** Serializes a value; one that cannot be serialized, such as a too deeply nested array, is replaced by its type. */
-function writeValue(value: unknown): string {
+function serializeValue(value: unknown): string {
 	try {
 		return JSON.stringify(value) ?? 'nothing';
 	} catch {
@@ -28,8 +28,8 @@
 }
 
 function describeValue(value: unknown): string {
-	const text = writeValue(value);
-	return text.length > longestValue ? `${text.slice(0, longestValue)}…` : text;
+	const text = serializeValue(value);
+	return text.length > maxValueLength ? `${text.slice(0, maxValueLength)}…` : text;
 }
 
 /** Formats each issue as `PATH: found VALUE, expected: WHAT`; omits values if `secret` is set. */
--- a/packages/schema/src/prompt-blocks.ts
+++ b/packages/schema/src/prompt-blocks.ts
@@ -6,7 +6,7 @@
 export const blockTokens = 128;
 const blockCharacters = blockTokens * charactersPerToken;
 const base36 = 36;
-const mostBlocks = 64;
+const maxBlocks = 64;
 
 /** Estimates the number of tokens of a text. */
 export function countTokens(text: string): number {
@@ -17,7 +17,7 @@
 export function digestBlocks(prompt: string): string[] {
 	const blocks: string[] = [];
 	let chain = '';
-	for (let start = 0; start + blockCharacters <= prompt.length && blocks.length < mostBlocks; start += blockCharacters) {
+	for (let start = 0; start + blockCharacters <= prompt.length && blocks.length < maxBlocks; start += blockCharacters) {
 		chain = hashText(chain + prompt.slice(start, start + blockCharacters)).toString(base36);
 		blocks.push(chain);
 	}
