--- a/packages/schema/src/relay-message.ts
+++ b/packages/schema/src/relay-message.ts
@@ -1,4 +1,4 @@
-/** Messages between relay hosts, validated on receipt. */
+/** Messages between relay hosts, validated on receipt. Of two configurations, the higher version is used, whichever host sent it. */
 import {z} from 'zod';
 import {owner} from './engine-protocol.js';
 import {memberRecord} from './peer-message.js';
