--- a/packages/control/src/commands/bundle.ts
+++ b/packages/control/src/commands/bundle.ts
@@ -23,13 +23,13 @@
 	if (publicKey === undefined) {
 		const {deployment, version} = readEither(path);
 		print(`${path}: bundle ${version} of ${deployment} is valid`);
-		return exitCodes.well;
+		return exitCodes.ok;
 	}
 
 	const signed = readSigned(path);
 	const {deployment, version} = openBundle(signed, [readOperatorKey(signed.key, readPublicPem(publicKey))]);
 	print(`${path}: bundle ${version} of ${deployment} is valid and signed by ${signed.key}`);
-	return exitCodes.well;
+	return exitCodes.ok;
 }
 
 /** Signs a bundle; the result is what the operators publish under the key `bundle`. */
@@ -37,7 +37,7 @@
 	const text = JSON.stringify(signBundle(readBundle(path), name, readSigningKey(keyPath)));
 	if (out === undefined) {
 		print(text);
-		return exitCodes.well;
+		return exitCodes.ok;
 	}
 
 	try {
@@ -46,7 +46,7 @@
 		fail('fileUnreadable', {detail: `${out}: it cannot be written`, cause: error});
 	}
 
-	return exitCodes.well;
+	return exitCodes.ok;
 }
 
 /** A difference at one path. */
@@ -109,7 +109,7 @@
 		printTable(['path', leftPath, rightPath], differences.map(({path, left, right}) => [path, left, right]));
 	}
 
-	return differences.length === 0 ? exitCodes.well : exitCodes.no;
+	return differences.length === 0 ? exitCodes.ok : exitCodes.negative;
 }
 
 /** Prints a bundle in short. */
@@ -117,7 +117,7 @@
 	const bundle = readEither(path);
 	if (isJson) {
 		printJson(bundle);
-		return exitCodes.well;
+		return exitCodes.ok;
 	}
 
 	const {deployment, version, models, engines, services, callers, rules} = bundle;
@@ -133,7 +133,7 @@
 	print('');
 	printTable(['caller', 'member', 'priority', 'share'], callers.map(({name, member, priority, share}) => [name, member, String(priority), String(share)]));
 	print(`\n${models.length} models`);
-	return exitCodes.well;
+	return exitCodes.ok;
 }
 
 function lacks(answered: Answered<BundleStatus>, version: number): boolean {
@@ -174,5 +174,5 @@
 		printTable(['lacks it', 'why'], missing.map(each => [each.host, reasonOf(each)]));
 	}
 
-	return missing.length === 0 ? exitCodes.well : exitCodes.no;
+	return missing.length === 0 ? exitCodes.ok : exitCodes.negative;
 }
--- a/packages/control/src/commands/explain.ts
+++ b/packages/control/src/commands/explain.ts
@@ -11,11 +11,11 @@
 		printJson({
 			number, name, status, ran, advice,
 		});
-		return exitCodes.well;
+		return exitCodes.ok;
 	}
 
 	print(`${number} ${name}`);
 	print(advice);
 	print(status === 0 ? 'Not sent to callers.' : `HTTP status ${status}, ran: ${ran} unless the answer says otherwise.`);
-	return exitCodes.well;
+	return exitCodes.ok;
 }
--- a/packages/control/src/commands/losses.ts
+++ b/packages/control/src/commands/losses.ts
@@ -1,15 +1,11 @@
-/**
- * `gateheadctl losses`: which requests were not served in time, at which
- * moments and why, as the hosts' logs tell it. Neither safety nor efficiency
- * rests here.
- */
+/** The `gateheadctl losses` command: counts requests that were not served in time, by time, service and cause, from log lines. */
 import {printJson, printTable, exitCodes} from '../utils/output.js';
-import {readLines, textOf, type LogLine} from '../utils/log-lines.js';
+import {readLines, fieldText, type LogLine} from '../utils/log-lines.js';
 
-/** Share of the target above which one step of a request's way is named as the cause of a late first event. */
-const leastShare = 0.3;
+/** Fraction of the target latency above which a wait or step counts as a cause of lateness. */
+const causeShare = 0.3;
 const millisecondsPerSecond = 1000;
-const leastErrorStatus = 400;
+const minErrorStatus = 400;
 
 /** Why a request was not served in time. */
 export type Loss
@@ -27,31 +23,31 @@
 		| 'outcomeUnknown'
 		| 'noEnd';
 
-/** One request that was not served in time; `at` is its arrival, in seconds since the epoch. */
+/** A request that was not served in time; `at` is its arrival time, in seconds since the epoch. */
 export type LostRequest = {
 	readonly at: number;
 	readonly service: string;
 	readonly loss: Loss;
 };
 
-function numberOf(line: LogLine | undefined, field: string): number {
+function fieldNumber(line: LogLine | undefined, field: string): number {
 	const value = line?.[field];
 	return typeof value === 'number' ? value : 0;
 }
 
-/** Whether any step of a request's way says so. */
-type Test = (steps: readonly LogLine[], targetMs: number) => boolean;
+/** Whether the log lines of a request show a cause. */
+type CausePredicate = (steps: readonly LogLine[], targetMs: number) => boolean;
 
-/** Causes of a late first event, in the order in which they are looked for. */
-const lateCauses: ReadonlyArray<readonly [Loss, Test]> = [
+/** Causes of a late first byte; the first match applies. */
+const lateFirstByteCauses: ReadonlyArray<readonly [Loss, CausePredicate]> = [
 	['endpointLost', steps => steps.some(({name}) => name === 'continued')],
-	['waitedForMemory', (steps, targetMs) => numberOf(steps.find(({name}) => name === 'reserved'), 'waitedMs') > leastShare * targetMs],
-	['promptReadLate', (steps, targetMs) => numberOf(steps.find(({name}) => name === 'prefilled'), 'tookMs') > leastShare * targetMs],
+	['waitedForMemory', (steps, targetMs) => fieldNumber(steps.find(({name}) => name === 'reserved'), 'waitedMs') > causeShare * targetMs],
+	['promptReadLate', (steps, targetMs) => fieldNumber(steps.find(({name}) => name === 'prefilled'), 'tookMs') > causeShare * targetMs],
 	['sentAgain', steps => steps.some(({name}) => name === 'sentAgain')],
 ];
 
-function explainLate(steps: readonly LogLine[], targetMs: number): Loss {
-	for (const [loss, isCause] of lateCauses) {
+function classifyLateFirstByte(steps: readonly LogLine[], targetMs: number): Loss {
+	for (const [loss, isCause] of lateFirstByteCauses) {
 		if (isCause(steps, targetMs)) {
 			return loss;
 		}
@@ -60,11 +56,11 @@
 	return 'slowEndpoint';
 }
 
-/** What became of a request, by the outcome that its last line names; undefined: it was served in time. */
-const outcomes: Readonly<Record<string, (end: LogLine, steps: readonly LogLine[]) => Loss | undefined>> = {
+/** Classifiers by the `outcome` of a request's final log line; undefined if it was served in time. */
+const classifiers: Readonly<Record<string, (end: LogLine, steps: readonly LogLine[]) => Loss | undefined>> = {
 	answered(end, steps) {
-		const targetMs = numberOf(end, 'targetMs');
-		if (numberOf(end, 'status') >= leastErrorStatus) {
+		const targetMs = fieldNumber(end, 'targetMs');
+		if (fieldNumber(end, 'status') >= minErrorStatus) {
 			return 'endpointError';
 		}
 
@@ -72,19 +68,19 @@
 			return 'callerCameBack';
 		}
 
-		if (numberOf(end, 'firstByteMs') > targetMs) {
-			return explainLate(steps, targetMs);
+		if (fieldNumber(end, 'firstByteMs') > targetMs) {
+			return classifyLateFirstByte(steps, targetMs);
 		}
 
-		const isPaused = numberOf(end, 'longestGapMs') > (numberOf(end, 'gapTargetMs') || Number.POSITIVE_INFINITY);
-		return isPaused ? (steps.some(({name}) => name === 'continued') ? 'endpointLost' : 'pause') : undefined;
+		const hasLongGap = fieldNumber(end, 'longestGapMs') > (fieldNumber(end, 'gapTargetMs') || Number.POSITIVE_INFINITY);
+		return hasLongGap ? (steps.some(({name}) => name === 'continued') ? 'endpointLost' : 'pause') : undefined;
 	},
-	refused: end => (end.name === 'overloaded' ? (numberOf(end, 'tookMs') > leastShare * numberOf(end, 'targetMs') ? 'refusedAfterWait' : 'refused') : 'outcomeUnknown'),
+	refused: end => (end.name === 'overloaded' ? (fieldNumber(end, 'tookMs') > causeShare * fieldNumber(end, 'targetMs') ? 'refusedAfterWait' : 'refused') : 'outcomeUnknown'),
 	brokenOff: () => 'endpointLost',
 	callerLeft: () => 'callerLeft',
 };
 
-/** The loss of one request, from its lines; undefined where it was served in time. */
+/** Classifies a request from its log lines; undefined if it was served in time. */
 export function findLoss(steps: readonly LogLine[]): LostRequest | undefined {
 	const end = steps.findLast(({route, tookMs}) => route !== undefined && tookMs !== undefined);
 	const last = end ?? steps.at(-1);
@@ -92,16 +88,16 @@
 		return undefined;
 	}
 
-	const loss = end === undefined ? 'noEnd' : outcomes[textOf(end, 'outcome')]?.(end, steps);
-	const endAt = Date.parse(textOf(last, 'time')) / millisecondsPerSecond;
-	return loss === undefined ? undefined : {at: endAt - (numberOf(end, 'tookMs') / millisecondsPerSecond), service: textOf(last, 'service'), loss};
+	const loss = end === undefined ? 'noEnd' : classifiers[fieldText(end, 'outcome')]?.(end, steps);
+	const endAt = Date.parse(fieldText(last, 'time')) / millisecondsPerSecond;
+	return loss === undefined ? undefined : {at: endAt - (fieldNumber(end, 'tookMs') / millisecondsPerSecond), service: fieldText(last, 'service'), loss};
 }
 
-/** Lines by the request that they concern; requests that were refused before they had a route are left out. */
+/** Groups lines by request, without the final lines of requests that were refused before routing. */
 function groupByRequest(lines: readonly LogLine[]): Iterable<LogLine[]> {
 	const requests = new Map<string, LogLine[]>();
 	for (const line of lines) {
-		const id = textOf(line, 'request');
+		const id = fieldText(line, 'request');
 		if (id === '' || (line.name === 'requestEnded' && line.route === undefined)) {
 			continue;
 		}
@@ -114,14 +110,14 @@
 	return requests.values();
 }
 
-/** Losses of one service in one span of time, counted by cause. */
+/** Losses of a service in an interval, by cause; `from` is the start of the interval, in seconds since the epoch. */
 export type LossCount = {
 	readonly from: number;
 	readonly service: string;
 	readonly losses: Partial<Record<Loss, number>>;
 };
 
-/** Counts the losses of spans of so many seconds, in the order of time and service. */
+/** Counts losses in intervals of `everyS` seconds, ordered by time and service. */
 export function countLosses(lines: readonly LogLine[], everyS: number): LossCount[] {
 	const counts = new Map<string, LossCount>();
 	for (const steps of groupByRequest(lines)) {
@@ -140,12 +136,12 @@
 	return [...counts.values()].toSorted((left, right) => left.from - right.from || (left.service < right.service ? -1 : 1));
 }
 
-/** Prints what was lost, where and why. */
+/** Prints the loss counts of log files. */
 export function showLosses(files: readonly string[], everyS: number, isJson: boolean): number {
 	const counts = countLosses(readLines(files), everyS);
 	if (isJson) {
 		printJson(counts);
-		return exitCodes.well;
+		return exitCodes.ok;
 	}
 
 	printTable(['from', 'service', 'not in time', 'causes'], counts.map(({from, service, losses}) => {
@@ -153,5 +149,5 @@
 		const sum = causes.reduce((total, [, count]) => total + count, 0);
 		return [new Date(from * millisecondsPerSecond).toISOString().slice(11, 19), service === '' ? '-' : service, String(sum), causes.map(([loss, count]) => `${loss} ${count}`).join(', ')];
 	}));
-	return exitCodes.well;
+	return exitCodes.ok;
 }
--- a/packages/control/src/commands/side-by-side.ts
+++ b/packages/control/src/commands/side-by-side.ts
@@ -41,7 +41,7 @@
 
 /** Prints all hosts; exit code 1 where they disagree. */
 export function showSideBySide<Answer>({answers, disagreements, headings, rowOf}: SideBySide<Answer>, isJson: boolean): number {
-	const exitCode = disagreements.length === 0 ? exitCodes.well : exitCodes.no;
+	const exitCode = disagreements.length === 0 ? exitCodes.ok : exitCodes.negative;
 	if (isJson) {
 		printJson({disagreements, hosts: answers});
 		return exitCode;
--- a/packages/control/src/commands/status.ts
+++ b/packages/control/src/commands/status.ts
@@ -105,5 +105,5 @@
 		process.stderr.write(`no answer from ${silent.join(', ')}: these figures are a part only\n`);
 	}
 
-	return silent.length === 0 ? exitCodes.well : exitCodes.no;
+	return silent.length === 0 ? exitCodes.ok : exitCodes.negative;
 }
--- a/packages/control/src/commands/timeline.ts
+++ b/packages/control/src/commands/timeline.ts
@@ -60,7 +60,7 @@
 		printEvents(events, silent, wish.form);
 		since = events.at(-1)?.clock ?? since;
 		if (!wish.follow || wish.form === 'html') {
-			return silent.length === 0 ? exitCodes.well : exitCodes.no;
+			return silent.length === 0 ? exitCodes.ok : exitCodes.negative;
 		}
 
 		await pause(followMs);
--- a/packages/control/src/main.ts
+++ b/packages/control/src/main.ts
@@ -110,13 +110,13 @@
 	.command('settings <file>', 'check settings of a host', command => command
 		.positional('file', {type: 'string', demandOption: true}), async ({file}) => run(() => {
 		print(`settings of ${readSettings(file).host} are valid`);
-		return exitCodes.well;
+		return exitCodes.ok;
 	}))
 	.command('keys <file>', 'make a key pair: FILE for the signer alone, FILE.pub for the hosts', command => command
 		.positional('file', {type: 'string', demandOption: true}), async ({file}) => run(() => {
 		writeKeyPair(file);
 		print(`private key in ${file}, public key in ${file}.pub`);
-		return exitCodes.well;
+		return exitCodes.ok;
 	}))
 	.completion()
 	.demandCommand(1)
--- a/packages/control/src/utils/log-lines.ts
+++ b/packages/control/src/utils/log-lines.ts
@@ -1,17 +1,17 @@
-/** Reads log lines of many processes from files or standard input. A line may stand behind other words, as where a collector puts a time and a name before it. Neither safety nor efficiency rests here. */
+/** Reads JSON log lines from files or standard input. Text before the first `{` of a line, such as a log collector's prefix, is skipped. */
 import {readFileSync} from 'node:fs';
 import {z} from 'zod';
 import {fail} from '@gatehead/schema/failure';
 
-/** Fields that every line has; each kind of line has more. */
+/** Common fields of log lines; other fields depend on `name`. */
 export const logLine = z.looseObject({
 	name: z.string(), code: z.number(), host: z.string(), at: z.number().optional(), time: z.string().optional(),
 });
 
-/** One line of a log. */
+/** A parsed log line. */
 export type LogLine = z.infer<typeof logLine>;
 
-/** A line's content, or undefined where it is none. */
+/** Parses a log line; undefined if it is not one. */
 export function parseLine(text: string): LogLine | undefined {
 	const start = text.indexOf('{');
 	if (start === -1) {
@@ -21,12 +21,12 @@
 	try {
 		return logLine.safeParse(JSON.parse(text.slice(start))).data;
 	} catch {
-		// Other programs' lines stand in the same file
+		// The file may contain lines of other programs
 		return undefined;
 	}
 }
 
-/** All lines of some files, `-` for standard input, in the order of their wall time. */
+/** Reads the log lines of files (`-` for standard input), ordered by wall-clock time. */
 export function readLines(files: readonly string[]): LogLine[] {
 	const lines: LogLine[] = [];
 	for (const file of files) {
@@ -37,8 +37,8 @@
 			fail('fileUnreadable', {detail: file, cause: error});
 		}
 
-		for (const row of text.split('\n')) {
-			const line = parseLine(row);
+		for (const rawLine of text.split('\n')) {
+			const line = parseLine(rawLine);
 			if (line !== undefined) {
 				lines.push(line);
 			}
@@ -48,8 +48,8 @@
 	return lines.toSorted((left, right) => ((left.time ?? '') < (right.time ?? '') ? -1 : 1));
 }
 
-/** A field as text; empty where the line has none. */
-export function textOf(line: LogLine, field: string): string {
+/** A field as text; empty if missing or not a primitive. */
+export function fieldText(line: LogLine, field: string): string {
 	const value = line[field];
 	return typeof value === 'string' || typeof value === 'number' || typeof value === 'boolean' ? String(value) : '';
 }
