--- a/packages/control/src/commands/bundle.ts
+++ b/packages/control/src/commands/bundle.ts
@@ -1,4 +1,4 @@
-/** `gateheadctl bundle …`: check, sign, compare, show, and wait until a version is in force everywhere. Nothing here writes to the platform. Safety: a bundle is checked as hosts check it, before it is signed. */
+/** The `gateheadctl bundle` commands. None of them writes to the platform. Safety: a bundle passes the same validation as on hosts before it is signed. */
 import {setTimeout as pause} from 'node:timers/promises';
 import {writeFileSync} from 'node:fs';
 import {bundleStatus, type BundleStatus} from '@gatehead/schema/admin-protocol';
@@ -9,31 +9,31 @@
 	openBundle, readOperatorKey, sectionNames, signBundle,
 } from '@gatehead/schema/signed-bundle';
 import {
-	readBundle, readEither, readPublicPem, readSigned, readSigningKey, type FleetFile,
+	readBundle, readAnyBundle, readPublicPem, readSignedBundle, readSigningKey, type FleetFile,
 } from '../utils/files.js';
-import {askFleet, type Answered} from '../utils/fleet.js';
+import {queryFleet, type HostResult} from '../utils/fleet.js';
 import {
 	exitCodes, print, printJson, printTable,
 } from '../utils/output.js';
 
 const pollMs = 500;
 
-/** Checks a bundle file, and with `publicKey` the signature of a signed one. */
+/** Validates a bundle file, and its signature if `publicKey` is given. */
 export function checkBundle(path: string, publicKey: string | undefined): number {
 	if (publicKey === undefined) {
-		const {deployment, version} = readEither(path);
+		const {deployment, version} = readAnyBundle(path);
 		print(`${path}: bundle ${version} of ${deployment} is valid`);
 		return exitCodes.ok;
 	}
 
-	const signed = readSigned(path);
+	const signed = readSignedBundle(path);
 	const {deployment, version} = openBundle(signed, [readOperatorKey(signed.key, readPublicPem(publicKey))]);
 	print(`${path}: bundle ${version} of ${deployment} is valid and signed by ${signed.key}`);
 	return exitCodes.ok;
 }
 
-/** Signs a bundle; the result is what the operators publish under the key `bundle`. */
-export function signFile(path: string, keyPath: string, name: string, out: string | undefined): number {
+/** Validates and signs a bundle. Operators publish the result under the key `bundle`. */
+export function signBundleFile(path: string, keyPath: string, name: string, out: string | undefined): number {
 	const text = JSON.stringify(signBundle(readBundle(path), name, readSigningKey(keyPath)));
 	if (out === undefined) {
 		print(text);
@@ -43,29 +43,29 @@
 	try {
 		writeFileSync(out, `${text}\n`);
 	} catch (error) {
-		fail('fileUnreadable', {detail: `${out}: it cannot be written`, cause: error});
+		fail('fileUnreadable', {detail: `${out}: file cannot be written`, cause: error});
 	}
 
 	return exitCodes.ok;
 }
 
-/** A difference at one path. */
+/** Values that differ at a path, as JSON; empty if missing. */
 export type Difference = {
 	readonly path: string;
 	readonly left: string;
 	readonly right: string;
 };
 
-function keyOf(value: unknown, index: number): string {
+function keyOfElement(value: unknown, index: number): string {
 	const name: unknown = typeof value === 'object' && value !== null ? Reflect.get(value, 'name') : undefined;
 	return typeof name === 'string' ? name : String(index);
 }
 
-/** Flattens a value to text by path; members of lists go by their names, so that order does not matter. */
-function flatten(value: unknown, path: string, into: Map<string, string>): void {
+/** Flattens a value to a map from path to JSON. Named list elements are keyed by name, so their order does not matter. */
+function flatten(value: unknown, path: string, entries: Map<string, string>): void {
 	if (Array.isArray(value)) {
 		for (const [index, each] of value.entries()) {
-			flatten(each, `${path}[${keyOf(each, index)}]`, into);
+			flatten(each, `${path}[${keyOfElement(each, index)}]`, entries);
 		}
 
 		return;
@@ -73,16 +73,16 @@
 
 	if (typeof value === 'object' && value !== null) {
 		for (const [key, each] of Object.entries(value)) {
-			flatten(each, path === '' ? key : `${path}.${key}`, into);
+			flatten(each, path === '' ? key : `${path}.${key}`, entries);
 		}
 
 		return;
 	}
 
-	into.set(path, JSON.stringify(value) ?? '');
+	entries.set(path, JSON.stringify(value) ?? '');
 }
 
-/** Differences of two bundles by path. */
+/** Compares two bundles by path. */
 export function compareBundles(left: Bundle, right: Bundle): Difference[] {
 	const lefts = new Map<string, string>();
 	const rights = new Map<string, string>();
@@ -100,9 +100,9 @@
 	return differences;
 }
 
-/** Prints what differs; exit code 1 where anything does. */
+/** Prints the differences of two bundles; exit code 1 if there are any. */
 export function diffBundles(leftPath: string, rightPath: string, isJson: boolean): number {
-	const differences = compareBundles(readEither(leftPath), readEither(rightPath));
+	const differences = compareBundles(readAnyBundle(leftPath), readAnyBundle(rightPath));
 	if (isJson) {
 		printJson(differences);
 	} else {
@@ -112,9 +112,9 @@
 	return differences.length === 0 ? exitCodes.ok : exitCodes.negative;
 }
 
-/** Prints a bundle in short. */
+/** Prints a summary of a bundle. */
 export function showBundle(path: string, isJson: boolean): number {
-	const bundle = readEither(path);
+	const bundle = readAnyBundle(path);
 	if (isJson) {
 		printJson(bundle);
 		return exitCodes.ok;
@@ -136,42 +136,42 @@
 	return exitCodes.ok;
 }
 
-function lacks(answered: Answered<BundleStatus>, version: number): boolean {
-	return !answered.ok || answered.answer.version < version;
+function lacksVersion(result: HostResult<BundleStatus>, version: number): boolean {
+	return !result.ok || result.answer.version < version;
 }
 
-function reasonOf(answered: Answered<BundleStatus>): string {
-	return answered.ok ? `has ${answered.answer.version}` : `${answered.code} ${answered.reason}`;
+function reasonOf(result: HostResult<BundleStatus>): string {
+	return result.ok ? `has ${result.answer.version}` : `${result.code} ${result.reason}`;
 }
 
-/** Waits until a version is in force at every host; names who lacks it. */
-export async function waitInForce(fleet: FleetFile, version: number, waitMs: number, isJson: boolean): Promise<number> {
+/** Waits until all hosts have a version or a newer one; after `waitMs`, prints the hosts without it and returns exit code 1. */
+export async function waitForVersion(fleet: FleetFile, version: number, waitMs: number, isJson: boolean): Promise<number> {
 	const start = performance.now();
-	let last = -1;
+	let lastMissing = -1;
 	for (;;) {
-		const answers = await askFleet(fleet, '/v1/bundle', data => bundleStatus.parse(data));
-		const missing = answers.filter(each => lacks(each, version));
+		const results = await queryFleet(fleet, '/v1/bundle', data => bundleStatus.parse(data));
+		const missing = results.filter(each => lacksVersion(each, version));
 		const elapsedMs = Math.round(performance.now() - start);
-		if (!isJson && missing.length !== last) {
-			last = missing.length;
-			print(`${elapsedMs} ms: ${answers.length - missing.length} of ${answers.length} hosts have version ${version}`);
+		if (!isJson && missing.length !== lastMissing) {
+			lastMissing = missing.length;
+			print(`${elapsedMs} ms: ${results.length - missing.length} of ${results.length} hosts have version ${version}`);
 		}
 
 		if (missing.length === 0 || elapsedMs > waitMs) {
-			return report(missing, version, elapsedMs, isJson);
+			return printMissingHosts(missing, version, elapsedMs, isJson);
 		}
 
 		await pause(pollMs);
 	}
 }
 
-function report(missing: ReadonlyArray<Answered<BundleStatus>>, version: number, elapsedMs: number, isJson: boolean): number {
+function printMissingHosts(missing: ReadonlyArray<HostResult<BundleStatus>>, version: number, elapsedMs: number, isJson: boolean): number {
 	if (isJson) {
 		printJson({
 			version, inForce: missing.length === 0, elapsedMs, missing: missing.map(each => ({host: each.host, reason: reasonOf(each)})),
 		});
 	} else if (missing.length > 0) {
-		printTable(['lacks it', 'why'], missing.map(each => [each.host, reasonOf(each)]));
+		printTable(['missing at', 'reason'], missing.map(each => [each.host, reasonOf(each)]));
 	}
 
 	return missing.length === 0 ? exitCodes.ok : exitCodes.negative;
--- a/packages/control/src/commands/commands.test.ts
+++ b/packages/control/src/commands/commands.test.ts
@@ -1,4 +1,4 @@
-/** Catalogue: what the two binaries say of good and bad files, and what operators see where hosts disagree. */
+/** Validation of example files by both binaries, and the output of commands for disagreeing and unreachable hosts. */
 import {spawnSync} from 'node:child_process';
 import {
 	mkdtempSync, readdirSync, statSync, writeFileSync,
@@ -13,64 +13,64 @@
 import {type RelayStatus} from '@gatehead/schema/relay-status';
 import {type Event} from '@gatehead/schema/event';
 import {findRelayDisagreements, listSignals} from './relay-status.js';
-import {findDisagreements, addUsage} from './status.js';
+import {findDisagreements, sumUsage} from './status.js';
 import {drawTimeline} from './timeline-page.js';
 import {mergeEvents} from './timeline.js';
 
 const root = fileURLToPath(new URL('../../../../', import.meta.url));
-const control = join(root, 'packages/control/bin/gateheadctl.js');
-const host = join(root, 'packages/host/bin/gatehead.js');
+const controlBinary = join(root, 'packages/control/bin/gateheadctl.js');
+const hostBinary = join(root, 'packages/host/bin/gatehead.js');
 
-function run(binary: string, ...words: string[]): {readonly status: number; readonly out: string; readonly error: string} {
-	const {status, stdout, stderr} = spawnSync(process.execPath, [binary, ...words], {cwd: root, encoding: 'utf8'});
+function run(binary: string, ...args: string[]): {readonly status: number; readonly out: string; readonly error: string} {
+	const {status, stdout, stderr} = spawnSync(process.execPath, [binary, ...args], {cwd: root, encoding: 'utf8'});
 	return {status: status ?? -1, out: stdout, error: stderr};
 }
 
-type Refused = {
+type InvalidFile = {
 	readonly file: string;
-	/** Paths that must all be named. */
-	readonly named: readonly string[];
+	/** Paths that the error message must contain. */
+	readonly faults: readonly string[];
 };
 
-const refusedBundles: readonly Refused[] = [
-	{file: 'bundle-names.json', named: ['engines.1.address']},
-	{file: 'bundle-values.json', named: ['version', 'rules.objective', 'callers.0.tokenDigest', 'extra']},
-	{file: 'bundle-roles.json', named: ['engines', 'models.0']},
-	{file: 'bundle-text.json', named: ['not JSON']},
+const refusedBundles: readonly InvalidFile[] = [
+	{file: 'bundle-names.json', faults: ['engines.1.address']},
+	{file: 'bundle-values.json', faults: ['version', 'rules.objective', 'callers.0.tokenDigest', 'extra']},
+	{file: 'bundle-roles.json', faults: ['engines', 'models.0']},
+	{file: 'bundle-text.json', faults: ['not JSON']},
 ];
 
-const refusedSettings: readonly Refused[] = [
-	{file: 'settings-values.json', named: ['listen.caller', 'hall', 'timing.tickMs']},
-	{file: 'settings-missing.json', named: ['platform', 'surplus']},
+const refusedSettings: readonly InvalidFile[] = [
+	{file: 'settings-values.json', faults: ['listen.caller', 'hall', 'timing.tickMs']},
+	{file: 'settings-missing.json', faults: ['platform', 'surplus']},
 ];
 
 describe('files', () => {
 	for (const name of ['tour', 'buoy']) {
 		it(`accepts the example ${name}`, () => {
-			expect(run(control, 'bundle', 'check', `examples/${name}/bundle.json`).status).toEqual(0);
-			expect(run(host, '--settings', `examples/${name}/settings.json`, '--check').status).toEqual(0);
+			expect(run(controlBinary, 'bundle', 'check', `examples/${name}/bundle.json`).status).toEqual(0);
+			expect(run(hostBinary, '--settings', `examples/${name}/settings.json`, '--check').status).toEqual(0);
 		});
 	}
 
-	for (const {file, named} of refusedBundles) {
-		it(`refuses ${file} and names ${named.join(', ')}`, () => {
-			const {status, error} = run(control, 'bundle', 'check', `examples/invalid/${file}`);
+	for (const {file, faults} of refusedBundles) {
+		it(`refuses ${file} and names ${faults.join(', ')}`, () => {
+			const {status, error} = run(controlBinary, 'bundle', 'check', `examples/invalid/${file}`);
 			expect(status).toEqual(2);
 			expect(error.startsWith('5004 bundleInvalid')).toEqual(true);
-			expect(named.filter(each => !error.includes(each))).toEqual([]);
+			expect(faults.filter(each => !error.includes(each))).toEqual([]);
 		});
 	}
 
-	for (const {file, named} of refusedSettings) {
-		it(`refuses ${file} and names ${named.join(', ')}`, () => {
-			const {status, error} = run(host, '--settings', `examples/invalid/${file}`, '--check');
+	for (const {file, faults} of refusedSettings) {
+		it(`refuses ${file} and names ${faults.join(', ')}`, () => {
+			const {status, error} = run(hostBinary, '--settings', `examples/invalid/${file}`, '--check');
 			expect(status).toEqual(2);
-			expect(named.filter(each => !error.includes(each))).toEqual([]);
-			expect(run(control, 'settings', `examples/invalid/${file}`).status).toEqual(2);
+			expect(faults.filter(each => !error.includes(each))).toEqual([]);
+			expect(run(controlBinary, 'settings', `examples/invalid/${file}`).status).toEqual(2);
 		});
 	}
 
-	it('stands linked under its name for npx', () => {
+	it('installs both binaries for npx', () => {
 		for (const name of ['gatehead', 'gateheadctl']) {
 			const {status, stdout} = spawnSync(join(root, 'node_modules/.bin', name), ['--version'], {cwd: root, encoding: 'utf8'});
 			expect(status).toEqual(0);
@@ -83,36 +83,36 @@
 		expect(readdirSync(join(root, 'examples/invalid')).toSorted()).toEqual(covered.toSorted());
 	});
 
-	it('makes keys for the signer alone, signs, checks, and finds a forged signature', () => {
+	it('generates a private key with owner-only permissions, signs, verifies, and rejects a signature by another key', () => {
 		const folder = mkdtempSync(join(tmpdir(), 'gatehead-keys-'));
 		const [mine, other, signed] = ['mine', 'other', 'signed.json'].map(each => join(folder, each));
-		expect(run(control, 'keys', mine ?? '').status).toEqual(0);
-		expect(run(control, 'keys', other ?? '').status).toEqual(0);
-		expect(run(control, 'keys', mine ?? '').status).toEqual(2);
+		expect(run(controlBinary, 'keys', mine ?? '').status).toEqual(0);
+		expect(run(controlBinary, 'keys', other ?? '').status).toEqual(0);
+		expect(run(controlBinary, 'keys', mine ?? '').status).toEqual(2);
 		expect(statSync(mine ?? '').mode % 0o1000).toEqual(0o600);
-		expect(run(control, 'bundle', 'sign', 'examples/tour/bundle.json', '--key', mine ?? '', '--out', signed ?? '').status).toEqual(0);
-		expect(run(control, 'bundle', 'check', signed ?? '', '--public-key', `${mine}.pub`).status).toEqual(0);
-		expect(run(control, 'bundle', 'check', signed ?? '', '--public-key', `${other}.pub`).error.startsWith('5001')).toEqual(true);
-		expect(run(control, 'bundle', 'diff', 'examples/tour/bundle.json', signed ?? '').status).toEqual(0);
-		expect(run(control, 'bundle', 'diff', 'examples/tour/bundle.json', 'examples/buoy/bundle.json').status).toEqual(1);
+		expect(run(controlBinary, 'bundle', 'sign', 'examples/tour/bundle.json', '--key', mine ?? '', '--out', signed ?? '').status).toEqual(0);
+		expect(run(controlBinary, 'bundle', 'check', signed ?? '', '--public-key', `${mine}.pub`).status).toEqual(0);
+		expect(run(controlBinary, 'bundle', 'check', signed ?? '', '--public-key', `${other}.pub`).error.startsWith('5001')).toEqual(true);
+		expect(run(controlBinary, 'bundle', 'diff', 'examples/tour/bundle.json', signed ?? '').status).toEqual(0);
+		expect(run(controlBinary, 'bundle', 'diff', 'examples/tour/bundle.json', 'examples/buoy/bundle.json').status).toEqual(1);
 	});
 
-	it('names each host that lacks a version, and why', () => {
+	it('lists each host without a version, and the reason', () => {
 		const fleet = join(mkdtempSync(join(tmpdir(), 'gatehead-fleet-')), 'fleet.json');
 		writeFileSync(fleet, JSON.stringify({hosts: [{host: 'silent-entry-1', adminAddress: '127.0.0.1:9'}]}));
-		const {status, out} = run(control, 'bundle', 'in-force', '3', '--fleet', fleet, '--wait-ms', '1');
+		const {status, out} = run(controlBinary, 'bundle', 'in-force', '3', '--fleet', fleet, '--wait-ms', '1');
 		expect(status).toEqual(1);
 		expect(['0 of 1 hosts have version 3', 'silent-entry-1', '6005'].filter(each => !out.includes(each))).toEqual([]);
-		expect(run(control, 'status', '--fleet', fleet).status).toEqual(1);
-		expect(run(control, 'usage', '--fleet', fleet).error.includes('silent-entry-1')).toEqual(true);
-		expect(run(control, 'status', '--fleet', 'examples/tour/bundle.json').error.startsWith('6006')).toEqual(true);
+		expect(run(controlBinary, 'status', '--fleet', fleet).status).toEqual(1);
+		expect(run(controlBinary, 'usage', '--fleet', fleet).error.includes('silent-entry-1')).toEqual(true);
+		expect(run(controlBinary, 'status', '--fleet', 'examples/tour/bundle.json').error.startsWith('6006')).toEqual(true);
 	});
 
-	it('refuses a missing file, a wrong command and an unknown code with a number', () => {
-		expect(run(control, 'bundle', 'check', 'no-such-file').error.startsWith('6002')).toEqual(true);
-		expect(run(control, 'steer').status).toEqual(1);
-		expect(run(control, 'explain', '42').error.startsWith('6006')).toEqual(true);
-		expect(run(control, 'explain', '3001').out.includes('ownerUnreachable')).toEqual(true);
+	it('rejects a missing file, an unknown command and an unknown code', () => {
+		expect(run(controlBinary, 'bundle', 'check', 'no-such-file').error.startsWith('6002')).toEqual(true);
+		expect(run(controlBinary, 'steer').status).toEqual(1);
+		expect(run(controlBinary, 'explain', '42').error.startsWith('6006')).toEqual(true);
+		expect(run(controlBinary, 'explain', '3001').out.includes('ownerUnreachable')).toEqual(true);
 	});
 });
 
@@ -129,7 +129,7 @@
 };
 
 const disagreements: ReadonlyArray<{readonly name: string; readonly hosts: readonly HostStatus[]; readonly found: number}> = [
-	{name: 'nothing where all agree', hosts: [statusOf('a', {cells: [cell]}), statusOf('b')], found: 0},
+	{name: 'nothing if all hosts agree', hosts: [statusOf('a', {cells: [cell]}), statusOf('b')], found: 0},
 	{
 		name: 'two bundles in force', hosts: [statusOf('a'), statusOf('b', {
 			bundle: {
@@ -137,10 +137,10 @@
 			},
 		})], found: 1,
 	},
-	{name: 'a cell kept twice', hosts: [statusOf('a', {cells: [cell]}), statusOf('b', {cells: [cell]})], found: 1},
-	{name: 'a host that is not ready and cannot read the service', hosts: [statusOf('a', {isReady: false, isConfigurationDown: true})], found: 2},
+	{name: 'a cell with two owners', hosts: [statusOf('a', {cells: [cell]}), statusOf('b', {cells: [cell]})], found: 1},
+	{name: 'a host that is not ready and cannot read the configuration service', hosts: [statusOf('a', {isReady: false, isConfigurationDown: true})], found: 2},
 	{
-		name: 'a host held to be dead that answers', hosts: [statusOf('a', {
+		name: 'a responding host that another considers dead', hosts: [statusOf('a', {
 			members: [{
 				host: 'b', state: 'dead', hall: 'a', incarnation: 1, load: 0,
 			}],
@@ -155,17 +155,17 @@
 		});
 	}
 
-	it('names a host that does not answer', () => {
+	it('reports a host that did not respond', () => {
 		expect(findDisagreements([{
 			host: 'a', ok: false, code: 6005, reason: 'timed out',
-		}])[0]?.startsWith('a does not answer')).toEqual(true);
+		}])[0]?.startsWith('a did not respond')).toEqual(true);
 	});
 
-	it('adds up use over hosts', () => {
+	it('sums usage over hosts', () => {
 		const row = {
 			caller: 'c', member: 'm', priority: 0, share: 1, counts: {x: 2},
 		};
-		expect(addUsage([[row], [row]])[0]?.counts).toEqual({x: 4});
+		expect(sumUsage([[row], [row]])[0]?.counts).toEqual({x: 4});
 	});
 });
 
@@ -176,15 +176,15 @@
 }
 
 const relayDisagreements: ReadonlyArray<{readonly name: string; readonly relays: readonly RelayStatus[]; readonly found: readonly string[]}> = [
-	{name: 'nothing where all agree', relays: [relayOf('a'), relayOf('b')], found: []},
+	{name: 'nothing if all relays agree', relays: [relayOf('a'), relayOf('b')], found: []},
 	{name: 'two configurations in force', relays: [relayOf('a'), relayOf('b', {routingVersion: 8})], found: ['configurations in force differ: 7, 8']},
 	{name: 'a relay that is not ready and cannot read the directory', relays: [relayOf('a', {isReady: false, isDirectoryDown: true})], found: ['a is not ready', 'a cannot read the directory']},
-	{name: 'a service without an endpoint', relays: [relayOf('a', {services: [{service: 'm', ready: 2, paused: 2}]})], found: ['a has no endpoint for m: 2 of 2 set aside']},
-	{name: 'a relay held to be dead that answers', relays: [relayOf('a', {members: [{host: 'b', state: 'dead'}]}), relayOf('b')], found: ['a holds b to be dead, and it answers']},
+	{name: 'a service without an endpoint', relays: [relayOf('a', {services: [{service: 'm', ready: 2, paused: 2}]})], found: ['a has no endpoint for m: 2 of 2 paused']},
+	{name: 'a responding relay that another considers dead', relays: [relayOf('a', {members: [{host: 'b', state: 'dead'}]}), relayOf('b')], found: ['a considers b dead, but it responded']},
 ];
 
 describe('status of relays', () => {
-	it('lists the signals of endpoints with their sources', () => {
+	it('lists the signals of endpoints and who received them', () => {
 		const signals = [
 			{
 				endpoint: 'e2', signal: 'backoff', leftMs: 1250, source: 'own',
@@ -205,14 +205,14 @@
 		});
 	}
 
-	it('a relay that does not answer is named, with exit code 1', () => {
+	it('reports a relay that did not respond, with exit code 1', () => {
 		const fleet = join(mkdtempSync(join(tmpdir(), 'gatehead-fleet-')), 'fleet.json');
 		writeFileSync(fleet, JSON.stringify({hosts: [{host: 'silent-relay-1', metricsAddress: '127.0.0.1:9'}]}));
-		const {status, out} = run(control, 'status', '--fleet', fleet);
+		const {status, out} = run(controlBinary, 'status', '--fleet', fleet);
 		expect(status).toEqual(1);
-		expect(out.includes('silent-relay-1 does not answer: 6005')).toEqual(true);
-		expect(run(control, 'usage', '--fleet', fleet).error.startsWith('6006')).toEqual(true);
-		expect(run(control, 'timeline', '--fleet', fleet).error.startsWith('6006')).toEqual(true);
+		expect(out.includes('silent-relay-1 did not respond: 6005')).toEqual(true);
+		expect(run(controlBinary, 'usage', '--fleet', fleet).error.startsWith('6006')).toEqual(true);
+		expect(run(controlBinary, 'timeline', '--fleet', fleet).error.startsWith('6006')).toEqual(true);
 	});
 });
 
@@ -225,16 +225,16 @@
 	},
 ];
 
-describe('time line', () => {
-	it('orders events of all hosts by their stamps and filters', () => {
-		const answers = events.map(each => ({host: each.host, ok: true as const, answer: {host: each.host, dropped: 0, events: [each]}}));
-		expect(mergeEvents(answers, {form: 'text', follow: false}).map(each => each.host)).toEqual(['a', 'b']);
-		expect(mergeEvents(answers, {form: 'text', follow: false, caller: 'c'}).map(each => each.host)).toEqual(['a']);
+describe('timeline', () => {
+	it('orders events of all hosts by timestamp and filters them', () => {
+		const results = events.map(each => ({host: each.host, ok: true as const, answer: {host: each.host, dropped: 0, events: [each]}}));
+		expect(mergeEvents(results, {form: 'text', follow: false}).map(each => each.host)).toEqual(['a', 'b']);
+		expect(mergeEvents(results, {form: 'text', follow: false, caller: 'c'}).map(each => each.host)).toEqual(['a']);
 	});
 
-	it('draws a lane for each host and endpoint, and escapes what it shows', () => {
+	it('draws a lane for each host and endpoint, and escapes text', () => {
 		const page = drawTimeline(events, ['gone']);
-		expect(['>a<', '>b<', '>d<', 'No answer from gone', 'r&lt;1&gt;'].filter(each => !page.includes(each))).toEqual([]);
+		expect(['>a<', '>b<', '>d<', 'No response from gone', 'r&lt;1&gt;'].filter(each => !page.includes(each))).toEqual([]);
 		expect(page.includes('r<1>')).toEqual(false);
 	});
 });
--- a/packages/control/src/commands/explain.ts
+++ b/packages/control/src/commands/explain.ts
@@ -1,11 +1,11 @@
-/** `gateheadctl explain CODE`: one row of the table of result codes, by number or name. Neither safety nor efficiency rests here. */
+/** The `gateheadctl explain` command. */
 import {codeNames, codes, findCode} from '@gatehead/schema/codes';
 import {fail} from '@gatehead/schema/failure';
 import {exitCodes, print, printJson} from '../utils/output.js';
 
-/** Prints a code's row. */
-export function explainCode(wanted: string, isJson: boolean): number {
-	const name = codeNames.find(each => each === wanted) ?? findCode(Number(wanted)) ?? fail('argumentInvalid', {detail: `no result code ${wanted}, docs/CODES.md lists them`});
+/** Prints the description of a result code. Throws `argumentInvalid` for an unknown code. */
+export function explainCode(codeOrName: string, isJson: boolean): number {
+	const name = codeNames.find(each => each === codeOrName) ?? findCode(Number(codeOrName)) ?? fail('argumentInvalid', {detail: `unknown result code ${codeOrName}, see docs/CODES.md`});
 	const {number, status, ran, advice} = codes[name];
 	if (isJson) {
 		printJson({
@@ -16,6 +16,6 @@
 
 	print(`${number} ${name}`);
 	print(advice);
-	print(status === 0 ? 'Not sent to callers.' : `HTTP status ${status}, ran: ${ran} unless the answer says otherwise.`);
+	print(status === 0 ? 'Not sent to callers.' : `HTTP status ${status}, ran: ${ran} unless the response states otherwise.`);
 	return exitCodes.ok;
 }
--- a/packages/control/src/commands/relay-status.ts
+++ b/packages/control/src/commands/relay-status.ts
@@ -1,22 +1,22 @@
-/** `gateheadctl status` for relays: all side by side, what they disagree about first. Neither safety nor efficiency rests here. */
+/** The `gateheadctl status` command for fleets with relays. */
 import {relayStatus, type RelayStatus} from '@gatehead/schema/relay-status';
 import {type FleetFile} from '../utils/files.js';
-import {askFleet, type Answered} from '../utils/fleet.js';
+import {queryFleet, type HostResult} from '../utils/fleet.js';
 import {print, printTable} from '../utils/output.js';
-import {findMemberDisagreements, findSilent, showSideBySide} from './side-by-side.js';
+import {findMemberDisagreements, findUnreachable, printHostTable} from './host-table.js';
 
 const millisecondsPerSecond = 1000;
 
-/** Finds what relays disagree about, in words. */
-export function findRelayDisagreements(answers: ReadonlyArray<Answered<RelayStatus>>): string[] {
-	const known = answers.flatMap(each => (each.ok ? [each.answer] : []));
-	const found = findSilent(answers);
-	const versions = new Set(known.map(({routingVersion}) => routingVersion));
+/** Describes disagreements and failures of relays. */
+export function findRelayDisagreements(results: ReadonlyArray<HostResult<RelayStatus>>): string[] {
+	const statuses = results.flatMap(each => (each.ok ? [each.answer] : []));
+	const found = findUnreachable(results);
+	const versions = new Set(statuses.map(({routingVersion}) => routingVersion));
 	if (versions.size > 1) {
 		found.push(`configurations in force differ: ${[...versions].join(', ')}`);
 	}
 
-	for (const {host, isReady, isDirectoryDown, services} of known) {
+	for (const {host, isReady, isDirectoryDown, services} of statuses) {
 		if (!isReady) {
 			found.push(`${host} is not ready`);
 		}
@@ -27,12 +27,12 @@
 
 		for (const {service, ready, paused} of services) {
 			if (ready === paused) {
-				found.push(`${host} has no endpoint for ${service}: ${paused} of ${ready} set aside`);
+				found.push(`${host} has no endpoint for ${service}: ${paused} of ${ready} paused`);
 			}
 		}
 	}
 
-	return [...found, ...findMemberDisagreements(known)];
+	return [...found, ...findMemberDisagreements(statuses)];
 }
 
 function rowOf(status: RelayStatus): string[] {
@@ -53,21 +53,21 @@
 	];
 }
 
-/** Signals of endpoints in force, by host. */
-export function listSignals(answers: ReadonlyArray<Answered<RelayStatus>>): string[][] {
-	const known = answers.flatMap(each => (each.ok ? [each.answer] : []));
-	return known.flatMap(({host, signals}) => signals.map(({endpoint, signal, value, leftMs, source}) => [
+/** Table rows of the endpoint signals that relays act on, ordered by endpoint. */
+export function listSignals(results: ReadonlyArray<HostResult<RelayStatus>>): string[][] {
+	const statuses = results.flatMap(each => (each.ok ? [each.answer] : []));
+	return statuses.flatMap(({host, signals}) => signals.map(({endpoint, signal, value, leftMs, source}) => [
 		endpoint, signal, value === undefined ? '' : `${value}/s`, leftMs === undefined ? '' : `${(leftMs / millisecondsPerSecond).toFixed(1)} s`, source, host,
 	])).toSorted((left, right) => (left.join(' ') < right.join(' ') ? -1 : 1));
 }
 
-/** Prints all relays, and the signals of endpoints that they act on; exit code 1 where they disagree. */
+/** Prints the status of all relays and the endpoint signals that they act on; exit code 1 if they disagree. */
 export async function showRelayStatus(fleet: FleetFile, isJson: boolean): Promise<number> {
-	const answers = await askFleet(fleet, '/status', data => relayStatus.parse(data));
-	const exitCode = showSideBySide({
-		answers, disagreements: findRelayDisagreements(answers), headings: ['host', 'hall', 'ready', 'version', 'revision', 'open', 'retries left', 'subset', 'members', 'endpoints'], rowOf,
+	const results = await queryFleet(fleet, '/status', data => relayStatus.parse(data));
+	const exitCode = printHostTable({
+		results, disagreements: findRelayDisagreements(results), headings: ['host', 'hall', 'ready', 'version', 'revision', 'open', 'retries left', 'subset', 'members', 'endpoints'], rowOf,
 	}, isJson);
-	const signals = listSignals(answers);
+	const signals = listSignals(results);
 	if (!isJson && signals.length > 0) {
 		print('');
 		printTable(['endpoint', 'signal', 'limit', 'left', 'received by', 'at'], signals);
--- a/packages/control/src/commands/status.ts
+++ b/packages/control/src/commands/status.ts
@@ -1,25 +1,25 @@
-/** `gateheadctl status` and `usage`: all hosts side by side, what they disagree about first. Neither safety nor efficiency rests here. */
+/** The `gateheadctl status` and `gateheadctl usage` commands. */
 import process from 'node:process';
 import {
 	hostStatus, usageRows, type HostStatus, type UsageRows,
 } from '@gatehead/schema/admin-protocol';
 import {type FleetFile} from '../utils/files.js';
-import {askFleet, type Answered} from '../utils/fleet.js';
+import {queryFleet, type HostResult} from '../utils/fleet.js';
 import {
 	exitCodes, print, printJson, printTable,
 } from '../utils/output.js';
-import {findMemberDisagreements, findSilent, showSideBySide} from './side-by-side.js';
+import {findMemberDisagreements, findUnreachable, printHostTable} from './host-table.js';
 
-/** Finds what hosts disagree about, in words. */
-export function findDisagreements(answers: ReadonlyArray<Answered<HostStatus>>): string[] {
-	const found = findSilent(answers);
-	const known = answers.flatMap(each => (each.ok ? [each.answer] : []));
-	const bundles = new Set(known.map(({bundle: {version, digest}}) => `${version} ${digest.slice(0, 12)}`));
+/** Describes disagreements and failures of hosts. */
+export function findDisagreements(results: ReadonlyArray<HostResult<HostStatus>>): string[] {
+	const found = findUnreachable(results);
+	const statuses = results.flatMap(each => (each.ok ? [each.answer] : []));
+	const bundles = new Set(statuses.map(({bundle: {version, digest}}) => `${version} ${digest.slice(0, 12)}`));
 	if (bundles.size > 1) {
 		found.push(`bundles in force differ: ${[...bundles].join(', ')}`);
 	}
 
-	for (const {host, isReady, isConfigurationDown} of known) {
+	for (const {host, isReady, isConfigurationDown} of statuses) {
 		if (!isReady) {
 			found.push(`${host} is not ready`);
 		}
@@ -29,32 +29,32 @@
 		}
 	}
 
-	for (const cell of new Set(known.flatMap(({cells}) => cells.map(each => each.cell)))) {
-		const keepers = known.filter(({cells}) => cells.some(each => each.cell === cell)).map(each => each.host);
-		if (keepers.length > 1) {
-			found.push(`cell ${cell} is kept twice, by ${keepers.join(' and ')}`);
+	for (const cell of new Set(statuses.flatMap(({cells}) => cells.map(each => each.cell)))) {
+		const owners = statuses.filter(({cells}) => cells.some(each => each.cell === cell)).map(each => each.host);
+		if (owners.length > 1) {
+			found.push(`cell ${cell} has more than one owner: ${owners.join(', ')}`);
 		}
 	}
 
-	return [...found, ...findMemberDisagreements(known)];
+	return [...found, ...findMemberDisagreements(statuses)];
 }
 
-/** Prints all hosts; exit code 1 where they disagree. */
+/** Prints the status of all hosts; exit code 1 if they disagree. */
 export async function showStatus(fleet: FleetFile, isJson: boolean): Promise<number> {
-	const answers = await askFleet(fleet, '/v1/status', data => hostStatus.parse(data));
-	return showSideBySide({
-		answers, disagreements: findDisagreements(answers), headings: ['host', 'hall', 'state', 'ready', 'bundle', 'open', 'members', 'keeps'], rowOf,
+	const results = await queryFleet(fleet, '/v1/status', data => hostStatus.parse(data));
+	return printHostTable({
+		results, disagreements: findDisagreements(results), headings: ['host', 'hall', 'state', 'ready', 'bundle', 'open', 'members', 'cells'], rowOf,
 	}, isJson);
 }
 
 function rowOf({host, hall, state, isReady, bundle, open, members, cells}: HostStatus): string[] {
 	const alive = members.filter(each => each.state === 'alive').length;
-	const kept = cells.map(({cell, free, slots, waiting}) => `${cell} (${free} of ${slots} slots free, ${waiting} wait)`).join(', ');
-	return [host, hall, state, isReady ? 'yes' : 'no', String(bundle.version), String(open), `${alive}/${members.length}`, kept];
+	const ownedCells = cells.map(({cell, free, slots, waiting}) => `${cell} (${free} of ${slots} slots free, ${waiting} waiting)`).join(', ');
+	return [host, hall, state, isReady ? 'yes' : 'no', String(bundle.version), String(open), `${alive}/${members.length}`, ownedCells];
 }
 
-/** Use of one caller over the fleet. */
-export type Use = {
+/** Usage of a caller, summed over the fleet. */
+export type CallerUsage = {
 	readonly caller: string;
 	readonly member: string;
 	readonly priority: number;
@@ -62,37 +62,37 @@
 	readonly counts: Readonly<Record<string, number>>;
 };
 
-/** Adds up the hosts' rows by caller. */
-export function addUsage(all: readonly UsageRows[]): Use[] {
-	const byCaller = new Map<string, Use>();
+/** Sums the rows of all hosts by caller. */
+export function sumUsage(all: readonly UsageRows[]): CallerUsage[] {
+	const byCaller = new Map<string, CallerUsage>();
 	for (const {caller, member, priority, share, counts} of all.flat()) {
-		const known = byCaller.get(caller)?.counts ?? {};
-		const names = new Set([...Object.keys(known), ...Object.keys(counts)]);
+		const previous = byCaller.get(caller)?.counts ?? {};
+		const names = new Set([...Object.keys(previous), ...Object.keys(counts)]);
 		byCaller.set(caller, {
-			caller, member, priority, share, counts: Object.fromEntries([...names].toSorted().map(name => [name, (known[name] ?? 0) + (counts[name] ?? 0)])),
+			caller, member, priority, share, counts: Object.fromEntries([...names].toSorted().map(name => [name, (previous[name] ?? 0) + (counts[name] ?? 0)])),
 		});
 	}
 
 	return [...byCaller.values()].toSorted((left, right) => (left.member + left.caller < right.member + right.caller ? -1 : 1));
 }
 
-/** How usage is printed. */
-export type UsageForm = 'text' | 'json' | 'csv';
+/** Output format of usage. */
+export type UsageFormat = 'text' | 'json' | 'csv';
 
-/** Prints the use of all callers; exit code 1 where a host did not answer, so that no audit rests on a part. */
-export async function showUsage(fleet: FleetFile, form: UsageForm): Promise<number> {
-	const answers = await askFleet(fleet, '/v1/usage', data => usageRows.parse(data));
-	const uses = addUsage(answers.flatMap(each => (each.ok ? [each.answer] : [])));
-	const silent = answers.filter(each => !each.ok).map(each => each.host);
-	const names = [...new Set(uses.flatMap(({counts}) => Object.keys(counts)))].toSorted();
-	const rows = uses.map(({caller, member, priority, share, counts}) => [member, caller, String(priority), String(share), ...names.map(name => String(counts[name] ?? 0))]);
+/** Prints the usage of all callers; exit code 1 if a host did not respond, since the sums are then incomplete. */
+export async function showUsage(fleet: FleetFile, form: UsageFormat): Promise<number> {
+	const results = await queryFleet(fleet, '/v1/usage', data => usageRows.parse(data));
+	const usage = sumUsage(results.flatMap(each => (each.ok ? [each.answer] : [])));
+	const unreachable = results.filter(each => !each.ok).map(each => each.host);
+	const names = [...new Set(usage.flatMap(({counts}) => Object.keys(counts)))].toSorted();
+	const rows = usage.map(({caller, member, priority, share, counts}) => [member, caller, String(priority), String(share), ...names.map(name => String(counts[name] ?? 0))]);
 	const headings = ['member', 'caller', 'priority', 'share', ...names];
-	const printers: Record<UsageForm, () => void> = {
+	const printers: Record<UsageFormat, () => void> = {
 		text() {
 			printTable(headings, rows);
 		},
 		json() {
-			printJson({uses, silent});
+			printJson({uses: usage, silent: unreachable});
 		},
 		csv() {
 			for (const row of [headings, ...rows]) {
@@ -101,9 +101,9 @@
 		},
 	};
 	printers[form]();
-	if (silent.length > 0 && form !== 'json') {
-		process.stderr.write(`no answer from ${silent.join(', ')}: these figures are a part only\n`);
+	if (unreachable.length > 0 && form !== 'json') {
+		process.stderr.write(`no response from ${unreachable.join(', ')}: the sums are incomplete\n`);
 	}
 
-	return silent.length === 0 ? exitCodes.ok : exitCodes.negative;
+	return unreachable.length === 0 ? exitCodes.ok : exitCodes.negative;
 }
--- a/packages/control/src/commands/timeline.ts
+++ b/packages/control/src/commands/timeline.ts
@@ -1,18 +1,19 @@
-/** `gateheadctl timeline`: events of all hosts in one causal order, as text, JSON lines or a page. Neither safety nor efficiency rests here. */
+/** The `gateheadctl timeline` command: events of all hosts in causal order, as text, JSON lines or an HTML page. */
 import {setTimeout as pause} from 'node:timers/promises';
 import process from 'node:process';
 import {timelineAnswer, type TimelineResponse} from '@gatehead/schema/admin-protocol';
 import {type Event} from '@gatehead/schema/event';
 import {type FleetFile} from '../utils/files.js';
-import {askFleet, type Answered} from '../utils/fleet.js';
+import {queryFleet, type HostResult} from '../utils/fleet.js';
 import {exitCodes, print} from '../utils/output.js';
 import {drawTimeline} from './timeline-page.js';
 
-const followMs = 1000;
-const wallDigits = 14;
+const followIntervalMs = 1000;
+/** Digits of the wall-clock time, in milliseconds since the epoch, at the start of an event's timestamp. */
+const wallTimeDigits = 14;
 
-/** Which events, and how to print them. */
-export type TimelineWish = {
+/** Filters and output options. */
+export type TimelineOptions = {
 	readonly request?: string | undefined;
 	readonly caller?: string | undefined;
 	readonly endpoint?: string | undefined;
@@ -22,53 +23,53 @@
 	readonly follow: boolean;
 };
 
-/** A stamp, from a stamp or an ISO time. */
-function stampOf(since: string | undefined): string {
+/** Converts an ISO time to an event timestamp; other text is returned unchanged. */
+function toTimestamp(since: string | undefined): string {
 	const wall = Date.parse(since ?? '');
-	return Number.isNaN(wall) ? since ?? '' : String(wall).padStart(wallDigits, '0');
+	return Number.isNaN(wall) ? since ?? '' : String(wall).padStart(wallTimeDigits, '0');
 }
 
-function isWanted({request, caller, endpoint, kind}: TimelineWish, event: Event): boolean {
+function matchesFilter({request, caller, endpoint, kind}: TimelineOptions, event: Event): boolean {
 	return (request === undefined || (event.request?.includes(request) ?? false))
 		&& (caller === undefined || event.caller === caller)
 		&& (endpoint === undefined || event.endpoint === endpoint)
 		&& (kind === undefined || event.kind === kind);
 }
 
-/** Events of all answers in causal order: stamps of a hybrid clock order a cause before its effect. */
-export function mergeEvents(answers: ReadonlyArray<Answered<TimelineResponse>>, wish: TimelineWish): Event[] {
-	const events = answers.flatMap(each => (each.ok ? each.answer.events : []));
-	return events.filter(each => isWanted(wish, each)).toSorted((left, right) => (left.clock < right.clock ? -1 : 1));
+/** Merges the matching events of all hosts, ordered by hybrid logical clock, which places a cause before its effects. */
+export function mergeEvents(results: ReadonlyArray<HostResult<TimelineResponse>>, options: TimelineOptions): Event[] {
+	const events = results.flatMap(each => (each.ok ? each.answer.events : []));
+	return events.filter(each => matchesFilter(options, each)).toSorted((left, right) => (left.clock < right.clock ? -1 : 1));
 }
 
-/** One event as a line of text. */
+/** Formats an event as a line of text. */
 export function formatEvent({clock, host, kind, request, attempt, caller, endpoint, peer, bundleVersion, detail}: Event): string {
-	const wall = new Date(Number(clock.slice(0, wallDigits))).toISOString();
-	const facts = Object.entries({
+	const wall = new Date(Number(clock.slice(0, wallTimeDigits))).toISOString();
+	const fields = Object.entries({
 		request, attempt, caller, endpoint, peer, bundle: bundleVersion, detail,
 	}).filter(([, value]) => value !== undefined).map(([name, value]) => `${name}=${value}`);
-	return `${wall} ${host.padEnd(20)} ${kind.padEnd(16)} ${facts.join(' ')}`.trimEnd();
+	return `${wall} ${host.padEnd(20)} ${kind.padEnd(16)} ${fields.join(' ')}`.trimEnd();
 }
 
-/** Collects and prints; unreachable hosts are named on standard error, and the exit code is 1 then. */
-export async function collectTimeline(fleet: FleetFile, wish: TimelineWish): Promise<number> {
-	let since = stampOf(wish.since);
+/** Collects and prints events. Unreachable hosts are listed on standard error; the exit code is then 1. */
+export async function collectTimeline(fleet: FleetFile, options: TimelineOptions): Promise<number> {
+	let since = toTimestamp(options.since);
 	for (;;) {
-		const answers = await askFleet(fleet, `/v1/timeline?after=${encodeURIComponent(since)}`, data => timelineAnswer.parse(data));
-		const silent = answers.filter(each => !each.ok).map(each => each.host);
-		const events = mergeEvents(answers, wish);
-		printEvents(events, silent, wish.form);
+		const results = await queryFleet(fleet, `/v1/timeline?after=${encodeURIComponent(since)}`, data => timelineAnswer.parse(data));
+		const unreachable = results.filter(each => !each.ok).map(each => each.host);
+		const events = mergeEvents(results, options);
+		printEvents(events, unreachable, options.form);
 		since = events.at(-1)?.clock ?? since;
-		if (!wish.follow || wish.form === 'html') {
-			return silent.length === 0 ? exitCodes.ok : exitCodes.negative;
+		if (!options.follow || options.form === 'html') {
+			return unreachable.length === 0 ? exitCodes.ok : exitCodes.negative;
 		}
 
-		await pause(followMs);
+		await pause(followIntervalMs);
 	}
 }
 
-function printEvents(events: readonly Event[], silent: readonly string[], form: TimelineWish['form']): void {
-	const printers: Record<TimelineWish['form'], () => void> = {
+function printEvents(events: readonly Event[], unreachable: readonly string[], form: TimelineOptions['form']): void {
+	const printers: Record<TimelineOptions['form'], () => void> = {
 		text() {
 			for (const event of events) {
 				print(formatEvent(event));
@@ -80,11 +81,11 @@
 			}
 		},
 		html() {
-			print(drawTimeline(events, silent));
+			print(drawTimeline(events, unreachable));
 		},
 	};
 	printers[form]();
-	for (const host of silent) {
-		process.stderr.write(`no answer from ${host}: its events are missing\n`);
+	for (const host of unreachable) {
+		process.stderr.write(`no response from ${host}: its events are missing\n`);
 	}
 }
--- a/packages/control/src/utils/files.ts
+++ b/packages/control/src/utils/files.ts
@@ -1,4 +1,4 @@
-/** Files that operators hand over: bundles, settings, keys, the list of hosts. Safety: a private key is written for its owner alone. */
+/** Reads and writes the files of operators: bundles, settings, keys and fleet files. Safety: a private key is written with owner-only permissions. */
 import {
 	createPrivateKey, createPublicKey, generateKeyPairSync, type KeyObject,
 } from 'node:crypto';
@@ -13,10 +13,10 @@
 	manifest, sectionNames, signedBundle, type SignedBundle,
 } from '@gatehead/schema/signed-bundle';
 
-/** Only the signer may read a private key. */
-const privateMode = 0o600;
+/** Read and write for the owner only. */
+const privateKeyMode = 0o600;
 
-/** Reads a text file. */
+/** Reads a text file. Throws `fileUnreadable`. */
 export function readText(path: string): string {
 	try {
 		return readFileSync(path, 'utf8');
@@ -25,23 +25,23 @@
 	}
 }
 
-/** Reads and checks a bundle as operators write it. */
+/** Reads and validates an unsigned bundle. */
 export function readBundle(path: string): Bundle {
 	return checkJson(bundle, readText(path), 'bundleInvalid');
 }
 
-/** Reads settings. */
+/** Reads and validates the settings of a host. */
 export function readSettings(path: string): Settings {
 	return checkJson(settings, readText(path), 'settingsInvalid');
 }
 
-/** Reads a signed bundle, without looking at its signature. */
-export function readSigned(path: string): SignedBundle {
+/** Reads a signed bundle without verifying its signature. */
+export function readSignedBundle(path: string): SignedBundle {
 	return checkJson(signedBundle, readText(path), 'bundleInvalid');
 }
 
-/** Reads a bundle in either form. */
-export function readEither(path: string): Bundle {
+/** Reads a signed or unsigned bundle without verifying a signature. */
+export function readAnyBundle(path: string): Bundle {
 	const text = readText(path);
 	if (!text.includes('"manifest"')) {
 		return checkJson(bundle, text, 'bundleInvalid');
@@ -57,7 +57,7 @@
 	return checkJson(bundle, JSON.stringify(parts), 'bundleInvalid');
 }
 
-/** Reads a private key for signing. */
+/** Reads an Ed25519 private key in PEM format. Throws `keyInvalid`. */
 export function readSigningKey(path: string): KeyObject {
 	const pem = readText(path);
 	try {
@@ -66,30 +66,30 @@
 			return key;
 		}
 	} catch (error) {
-		fail('keyInvalid', {detail: `${path}: Ed25519 private key in PEM form`, cause: error});
+		fail('keyInvalid', {detail: `${path}: expected an Ed25519 private key in PEM format`, cause: error});
 	}
 
-	return fail('keyInvalid', {detail: `${path}: Ed25519 private key in PEM form`});
+	return fail('keyInvalid', {detail: `${path}: expected an Ed25519 private key in PEM format`});
 }
 
-/** Reads a public key in PEM form. */
+/** Reads a public key and returns it in SPKI PEM format. Throws `keyInvalid`. */
 export function readPublicPem(path: string): string {
 	const pem = readText(path);
 	try {
 		return createPublicKey(pem).export({type: 'spki', format: 'pem'}).toString();
 	} catch (error) {
-		return fail('keyInvalid', {detail: `${path}: public key in PEM form`, cause: error});
+		return fail('keyInvalid', {detail: `${path}: expected a public key in PEM format`, cause: error});
 	}
 }
 
-/** Makes a key pair: `PATH` for the signer alone, `PATH.pub` for the hosts' settings. Never overwrites. */
+/** Generates an Ed25519 key pair: private key in `PATH`, public key in `PATH.pub`. Existing files are not overwritten. */
 export function writeKeyPair(path: string): void {
 	const {privateKey, publicKey} = generateKeyPairSync('ed25519');
 	try {
-		writeFileSync(path, privateKey.export({type: 'pkcs8', format: 'pem'}), {mode: privateMode, flag: 'wx'});
+		writeFileSync(path, privateKey.export({type: 'pkcs8', format: 'pem'}), {mode: privateKeyMode, flag: 'wx'});
 		writeFileSync(`${path}.pub`, publicKey.export({type: 'spki', format: 'pem'}), {flag: 'wx'});
 	} catch (error) {
-		fail('fileUnreadable', {detail: `${path}: it exists or cannot be written`, cause: error});
+		fail('fileUnreadable', {detail: `${path}: file exists or cannot be written`, cause: error});
 	}
 }
 
@@ -97,17 +97,17 @@
 	/** Environment variable that holds the operator's token. */
 	tokenVariable: z.string().default('GATEHEAD_TOKEN'),
 	tls: z.strictObject({ca: z.string(), certificate: z.string(), key: z.string()}).optional(),
-	/** Own hosts by their administration address, relays by the address of their figures. */
+	/** Relays are listed with the address of their metrics endpoint, other hosts with that of their administration interface. */
 	hosts: z.array(z.union([
 		z.strictObject({host: z.string(), adminAddress: address}),
 		z.strictObject({host: z.string(), metricsAddress: address}),
 	])).min(1),
 });
 
-/** Hosts that a command asks. */
+/** Hosts to query, and how to authenticate. */
 export type FleetFile = z.infer<typeof fleetFile>;
 
-/** Reads the list of hosts. */
+/** Reads and validates a fleet file. */
 export function readFleet(path: string): FleetFile {
 	return checkJson(fleetFile, readText(path), 'argumentInvalid');
 }
--- a/packages/control/src/utils/fleet.ts
+++ b/packages/control/src/utils/fleet.ts
@@ -1,4 +1,4 @@
-/** Asks every host of a fleet the same question; a host that does not answer is named, never left out. Neither safety nor efficiency rests here. */
+/** Queries all hosts of a fleet over HTTP; an unreachable host yields an error result. */
 import {readFileSync} from 'node:fs';
 import {request as httpRequest, type IncomingMessage, type RequestOptions} from 'node:http';
 import {request as httpsRequest} from 'node:https';
@@ -8,16 +8,16 @@
 import {fail} from '@gatehead/schema/failure';
 import {readFleet, type FleetFile} from './files.js';
 
-const answerMs = 3000;
+const requestTimeoutMs = 3000;
 
-/** One host's answer, or why there is none. */
-export type Answered<Answer>
+/** A host's response, or the error code and reason of a failed query. */
+export type HostResult<Answer>
 	= | {readonly host: string; readonly ok: true; readonly answer: Answer}
 		| {readonly host: string; readonly ok: false; readonly code: number; readonly reason: string};
 
-type Check<Answer> = (data: unknown) => Answer;
+type ResponseParser<Answer> = (data: unknown) => Answer;
 
-async function readAll(response: IncomingMessage): Promise<string> {
+async function readBody(response: IncomingMessage): Promise<string> {
 	response.setEncoding('utf8');
 	let text = '';
 	for await (const chunk of response) {
@@ -32,7 +32,7 @@
 	const {tls} = fleet;
 	const token = process.env[fleet.tokenVariable];
 	const options: RequestOptions = {
-		host: ip, port, path, agent: false, signal: AbortSignal.timeout(answerMs), headers: token === undefined ? {} : {authorization: `Bearer ${token}`},
+		host: ip, port, path, agent: false, signal: AbortSignal.timeout(requestTimeoutMs), headers: token === undefined ? {} : {authorization: `Bearer ${token}`},
 	};
 	const response = await new Promise<IncomingMessage>((resolve, reject) => {
 		const call = tls === undefined
@@ -44,36 +44,36 @@
 		call.once('error', reject);
 		call.end();
 	});
-	return {status: response.statusCode ?? 0, text: await readAll(response)};
+	return {status: response.statusCode ?? 0, text: await readBody(response)};
 }
 
-/** Whether any of the hosts is a relay. */
+/** Whether the fleet contains a relay. */
 export function hasRelay({hosts}: FleetFile): boolean {
 	return hosts.some(each => 'metricsAddress' in each);
 }
 
-/** Reads a list of own hosts; relays answer `status` alone. */
+/** Reads a fleet file for a command that relays do not support. Throws `argumentInvalid` if it contains a relay. */
 export function readHosts(path: string): FleetFile {
 	const fleet = readFleet(path);
-	return hasRelay(fleet) ? fail('argumentInvalid', {detail: `${path}: relays, which know the command status alone; name own hosts by their adminAddress`}) : fleet;
+	return hasRelay(fleet) ? fail('argumentInvalid', {detail: `${path}: relays support only the status command; list other hosts with their adminAddress`}) : fleet;
 }
 
-function addressOf(asked: FleetFile['hosts'][number]): string {
-	return 'adminAddress' in asked ? asked.adminAddress : asked.metricsAddress;
+function addressOf(target: FleetFile['hosts'][number]): string {
+	return 'adminAddress' in target ? target.adminAddress : target.metricsAddress;
 }
 
-/** Asks one host. */
-export async function askHost<Answer>(fleet: FleetFile, asked: FleetFile['hosts'][number], path: string, check: Check<Answer>): Promise<Answered<Answer>> {
-	const {host} = asked;
+/** Queries one host; never throws. */
+export async function queryHost<Answer>(fleet: FleetFile, target: FleetFile['hosts'][number], path: string, parse: ResponseParser<Answer>): Promise<HostResult<Answer>> {
+	const {host} = target;
 	try {
-		const {status, text} = await get(fleet, addressOf(asked), path);
+		const {status, text} = await get(fleet, addressOf(target), path);
 		if (status !== 200) {
 			return {
 				host, ok: false, code: status === 403 ? codes.peerRefused.number : codes.hostUnreachable.number, reason: `status ${status}: ${text.slice(0, 200)}`,
 			};
 		}
 
-		return {host, ok: true, answer: check(JSON.parse(text))};
+		return {host, ok: true, answer: parse(JSON.parse(text))};
 	} catch (error) {
 		return {
 			host, ok: false, code: codes.hostUnreachable.number, reason: error instanceof Error ? error.message : String(error),
@@ -81,7 +81,7 @@
 	}
 }
 
-/** Asks all hosts at once. */
-export async function askFleet<Answer>(fleet: FleetFile, path: string, check: Check<Answer>): Promise<Array<Answered<Answer>>> {
-	return Promise.all(fleet.hosts.map(async each => askHost(fleet, each, path, check)));
+/** Queries all hosts concurrently. */
+export async function queryFleet<Answer>(fleet: FleetFile, path: string, parse: ResponseParser<Answer>): Promise<Array<HostResult<Answer>>> {
+	return Promise.all(fleet.hosts.map(async each => queryHost(fleet, each, path, parse)));
 }
