--- a/packages/control/bin/gateheadctl.js
+++ b/packages/control/bin/gateheadctl.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-/** The `gateheadctl` binary; it stands here so that npm links it before the first build. */
+/** Launcher of `gateheadctl`; outside `dist` so that npm can link it before the first build. */
 import '../dist/main.js';
