--- a/packages/standin/src/wire/own-calls.test.ts
+++ b/packages/standin/src/wire/own-calls.test.ts
@@ -4,7 +4,7 @@
 import process from 'node:process';
 import {setImmediate} from 'node:timers/promises';
 import {describe, it} from 'node:test';
-import {readBoot} from '@gatehead/platform/boot-settings';
+import {parseBootSettings} from '@gatehead/platform/boot-settings';
 import {wireDialect} from '@gatehead/platform/wire-dialect';
 import {wholeFleet} from '@gatehead/policy/relay/subsets';
 import {ignore} from '@gatehead/policy/utils/ignore';
@@ -48,7 +48,7 @@
 			await once(server, 'listening');
 			const found = server.address();
 			const at = {...endpoint, address: `${ownAddress}:${typeof found === 'object' && found !== null ? found.port : 0}`};
-			const {settings} = readBoot(makeBoot({
+			const {settings} = parseBootSettings(makeBoot({
 				name: 'a', ip: ownAddress, ports: [1, 2, 3, 4], seeds: [], store: `${ownAddress}:1`,
 			}), undefined);
 			const context = {
--- a/packages/standin/src/wire/world.ts
+++ b/packages/standin/src/wire/world.ts
@@ -1,6 +1,6 @@
 /** A whole deployment on the platform's stand-ins: a store, replicas, and relays in this process. */
 import {setTimeout as pause} from 'node:timers/promises';
-import {readBoot} from '@gatehead/platform/boot-settings';
+import {parseBootSettings} from '@gatehead/platform/boot-settings';
 import {Store} from '@gatehead/platform/store';
 import {wireDialect} from '@gatehead/platform/wire-dialect';
 import {systemClock, type Clock} from '@gatehead/policy/utils/clock';
@@ -173,7 +173,7 @@
 
 async function startRelay({index, store, ports, seeds, lines, retryAllowance, watchMs, revokeMs, clock, advertisedPeer}: RelayStart): Promise<RunningRelay> {
 	const name = `host-${index}`;
-	const {settings} = readBoot(makeBoot({
+	const {settings} = parseBootSettings(makeBoot({
 		name, ip: ownAddress, ports, seeds, store, retryAllowance, revokeMs,
 	}));
 	const relay = new Relay({
