--- a/packages/control/src/commands/losses.ts
+++ b/packages/control/src/commands/losses.ts
@@ -7,7 +7,7 @@
 const millisecondsPerSecond = 1000;
 const minErrorStatus = 400;
 
-/** Why a request was not served in time. */
+/** Why a request was not served in time; printed, and part of the JSON output. */
 export type Loss
 	= | 'refused'
 		| 'refusedAfterWait'
--- a/packages/control/src/commands/relay-status.ts
+++ b/packages/control/src/commands/relay-status.ts
@@ -45,7 +45,7 @@
 		isReady ? 'yes' : 'no',
 		String(routingVersion),
 		directoryEpoch === undefined ? String(directoryRevision) : `${directoryRevision} of ${directoryEpoch}`,
-		`${open} (${waiting} wait)`,
+		`${open} (${waiting} waiting)`,
 		String(retryLeft),
 		`${subset.own + 1}/${subset.count}`,
 		`${alive}/${members.length}`,
--- a/packages/control/src/commands/timeline.ts
+++ b/packages/control/src/commands/timeline.ts
@@ -25,8 +25,8 @@
 
 /** Converts an ISO time to an event timestamp; other text is returned unchanged. */
 function toTimestamp(since: string | undefined): string {
-	const wall = Date.parse(since ?? '');
-	return Number.isNaN(wall) ? since ?? '' : String(wall).padStart(wallTimeDigits, '0');
+	const wallTimeMs = Date.parse(since ?? '');
+	return Number.isNaN(wallTimeMs) ? since ?? '' : String(wallTimeMs).padStart(wallTimeDigits, '0');
 }
 
 function matchesFilter({request, caller, endpoint, kind}: TimelineOptions, event: Event): boolean {
@@ -44,11 +44,11 @@
 
 /** Formats an event as a line of text. */
 export function formatEvent({clock, host, kind, request, attempt, caller, endpoint, peer, bundleVersion, detail}: Event): string {
-	const wall = new Date(Number(clock.slice(0, wallTimeDigits))).toISOString();
+	const time = new Date(Number(clock.slice(0, wallTimeDigits))).toISOString();
 	const fields = Object.entries({
 		request, attempt, caller, endpoint, peer, bundle: bundleVersion, detail,
 	}).filter(([, value]) => value !== undefined).map(([name, value]) => `${name}=${value}`);
-	return `${wall} ${host.padEnd(20)} ${kind.padEnd(16)} ${fields.join(' ')}`.trimEnd();
+	return `${time} ${host.padEnd(20)} ${kind.padEnd(16)} ${fields.join(' ')}`.trimEnd();
 }
 
 /** Collects and prints events. Unreachable hosts are listed on standard error; the exit code is then 1. */
--- a/packages/control/src/utils/files.ts
+++ b/packages/control/src/utils/files.ts
@@ -97,7 +97,7 @@
 	/** Environment variable that holds the operator's token. */
 	tokenVariable: z.string().default('GATEHEAD_TOKEN'),
 	tls: z.strictObject({ca: z.string(), certificate: z.string(), key: z.string()}).optional(),
-	/** Relays are listed with the address of their metrics endpoint, other hosts with that of their administration interface. */
+	/** Relays are listed with the address that serves their metrics and status, other hosts with that of their administration interface. */
 	hosts: z.array(z.union([
 		z.strictObject({host: z.string(), adminAddress: address}),
 		z.strictObject({host: z.string(), metricsAddress: address}),
