--- a/specification/endpoints.pml
+++ b/specification/endpoints.pml
@@ -21,9 +21,9 @@
 #define most 20       /* ticks played */
 
 #ifdef MISTAKE_CUT_IS_OUTAGE
-#define awayFailures 1
+#define unavailableAfterFailures 1
 #else
-#define awayFailures 2
+#define unavailableAfterFailures 2
 #endif
 
 /* The directory and the endpoint. */
@@ -134,11 +134,11 @@
 
 inline readBadly() {
 	if
-	:: failures < awayFailures -> failures++
+	:: failures < unavailableAfterFailures -> failures++
 	:: else
 	fi;
 	if
-	:: failures >= awayFailures -> isAway = true
+	:: failures >= unavailableAfterFailures -> isAway = true
 	:: else
 	fi
 }
